--- a/bergamotthread/request/relay/__init__.py
+++ b/bergamotthread/request/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Life of one relayed request: its attempts and the answer to its caller."""
+"""Relaying of one request: its attempts and the response to its caller."""
--- a/bergamotthread/request/relay/admission.py
+++ b/bergamotthread/request/relay/admission.py
@@ -1,4 +1,4 @@
-"""What becomes of a request before any upstream sees it."""
+"""Admission of a request before it is sent to an upstream."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
     WeightedService,
 )
 
-# When to come again where the entry has no version, or too old a one; another
-# entry is likely to have it.
+# Sent as Retry-After where this entry has no version, or a stale one; another
+# entry is likely to have a current one.
 RETRY_AFTER_MS = 300
-# Time left for a caller that tells none.
+# Time limit of a request whose caller sends none.
 DEFAULT_REMAINING_MS = 30_000.0
 _BEARER = b'bearer '
 
 
 @dataclass(frozen=True)
 class Admission:
-    """Checks requests against the version in force."""
+    """Checks requests against the current version of the configuration."""
 
     clock: Clock
     dialect: RelayDialect
@@ -49,19 +49,27 @@
         exchange: Exchange,
         table: RouteTable | None,
     ) -> RelayedCall | RelayRefusal:
-        """Return the call, or why the request is refused."""
+        """Return the admitted call, or the refusal to send."""
         request = exchange.request
         if table is None:
-            return _unready('this entry knows no version yet')
+            return _unready('this entry has not loaded a version yet')
         route = table.match(request.header(b'host') or b'', request.target)
         if route is None:
-            return RelayRefusal(404, 'no-route', f'version {table.version}')
+            return RelayRefusal(
+                404,
+                'no-route',
+                f'version {table.version} has no route for this host and path',
+            )
         team = self._team(request, route, table)
         if isinstance(team, RelayRefusal):
             return team
         request_id = request.header(self.dialect.request_id)
         if not request_id:
-            return RelayRefusal(400, 'no-request-id', 'identifier is missing')
+            return RelayRefusal(
+                400,
+                'no-request-id',
+                'the request identifier header is missing',
+            )
         return self._call(exchange, table, route, team)
 
     def _team(
@@ -77,12 +85,14 @@
             return team
         if not self.freshness.admits_keys:
             age_ms = self.freshness.age_ms
-            return _unready(f'keys were last confirmed {age_ms:.0f} ms ago')
+            return _unready(
+                f'keys not confirmed for {age_ms:.0f} ms, which is too long',
+            )
         if not team:
             return RelayRefusal(
                 401,
                 'unknown-key',
-                f'version {table.version} has no such key',
+                f'version {table.version} has no key equal to the bearer token',
             )
         return team
 
@@ -94,17 +104,17 @@
         team: str,
     ) -> RelayedCall:
         request = exchange.request
-        name = _draw(route.services, self.rng)
-        service = table.service_by_name.get(name)
-        remaining = _number(request.header(self.dialect.remaining_ms))
-        left_ms = remaining or DEFAULT_REMAINING_MS
+        service_name = _draw(route.services, self.rng)
+        service = table.service_by_name.get(service_name)
+        requested_ms = _number(request.header(self.dialect.remaining_ms))
+        timeout_ms = requested_ms or DEFAULT_REMAINING_MS
         return RelayedCall(
             exchange=exchange,
             route=route,
-            service=service or RelayService(name, '/health', 100),
+            service=service or RelayService(service_name, '/health', 100),
             team=team,
             request_id=request.header(self.dialect.request_id) or b'',
-            deadline_ms=request.received_ms + min(left_ms, route.timeout_ms),
+            deadline_ms=request.received_ms + min(timeout_ms, route.timeout_ms),
             version=table.version,
             prompt_tokens=self._prompt_tokens(request, route),
             resume_after=_event_id(request),
@@ -112,15 +122,15 @@
         )
 
     def _affinity(self, request: CallerRequest) -> bytes:
-        parts = request.header(self.dialect.prompt_parts) or b''
-        return parts.rpartition(b',')[2].partition(b':')[0].strip()
+        prompt_parts = request.header(self.dialect.prompt_parts) or b''
+        return prompt_parts.rpartition(b',')[2].partition(b':')[0].strip()
 
     def _prompt_tokens(self, request: CallerRequest, route: RelayRoute) -> int:
         if not route.is_stream:
             return 0
-        told = request.header(self.dialect.token_counts) or b''
-        prompt = told.partition(b',')[0]
-        return int(_number(prompt) or DEFAULT_PROMPT_TOKENS)
+        token_counts = request.header(self.dialect.token_counts) or b''
+        prompt_tokens = token_counts.partition(b',')[0]
+        return int(_number(prompt_tokens) or DEFAULT_PROMPT_TOKENS)
 
 
 def _unready(detail: str) -> RelayRefusal:
@@ -128,22 +138,22 @@
 
 
 def _bearer_key(request: CallerRequest) -> bytes:
-    told = request.header(AUTHORIZATION) or b''
-    if told[: len(_BEARER)].lower() != _BEARER:
+    authorization = request.header(AUTHORIZATION) or b''
+    if authorization[: len(_BEARER)].lower() != _BEARER:
         return b''
-    return told[len(_BEARER) :].strip()
+    return authorization[len(_BEARER) :].strip()
 
 
 def _draw(services: Sequence[WeightedService], rng: random.Random) -> str:
     if len(services) == 1:
         return services[0].service
-    weights = [one.weight for one in services]
+    weights = [service.weight for service in services]
     return rng.choices(services, weights)[0].service
 
 
 def _event_id(request: CallerRequest) -> int | None:
-    told = _number(request.header(RESUME_AFTER))
-    return None if told is None else int(told)
+    event_id = _number(request.header(RESUME_AFTER))
+    return None if event_id is None else int(event_id)
 
 
 def _number(told: bytes | None) -> float | None:
--- a/bergamotthread/request/relay/attempt.py
+++ b/bergamotthread/request/relay/attempt.py
@@ -32,22 +32,24 @@
 )
 from bergamotthread.request.relay.parts import RelayParts
 
-# Largest answer that is held back until it is whole; an entry has 128 MB.
+# Largest response that is buffered before it is sent to the caller; an entry
+# has 128 MB of memory.
 WHOLE_ANSWER_BYTES_MAX = 8_388_608
-# A kept connection may have been lost in silence; a request that runs at most
-# once takes one that was in use this lately.
+# A request that must not run twice reuses a connection only if it was in use
+# within this time, since an idle one may have been lost without notice.
 UNREPEATABLE_IDLE_MS = 2500
-# Status of an upstream that is not the expected incarnation.
+# HTTP status of an upstream that is not the incarnation expected by the entry.
 MISDIRECTED = 421
 _OK = 200
 _FIRST_REDIRECT = 300
 
 
 class Attempt:
-    """Sends a call to one upstream and reads the answer.
+    """Sends a call to one upstream and reads the response.
 
-    Use it as a context: leaving it gives the connection back, or closes it
-    if the answer is not whole, which cancels the run at the upstream.
+    Use it as a context manager: on exit the connection returns to the pool, or
+    is closed if the response is incomplete, which cancels the run at the
+    upstream.
     """
 
     def __init__(
@@ -82,15 +84,15 @@
         return self.call.deadline_ms - self.parts.clock.now_ms()
 
     def end_prefill(self) -> None:
-        """Note that the prompt has been read."""
+        """Stop counting the prompt among those that wait for prefill."""
         if self._is_prefilling:
             self._is_prefilling = False
             self.upstream.prefill_tokens -= self.call.prompt_tokens
 
     async def send(self, told: AttemptHeaders) -> NotSent | None:
-        """Send the request; return why it was not sent, if so."""
-        may_repeat = self.call.route.repeatability.may_repeat
-        idle_max_ms = IDLE_MAX_MS if may_repeat else UNREPEATABLE_IDLE_MS
+        """Send the request; return the outcome if it could not be sent."""
+        may_retry = self.call.route.repeatability.may_repeat
+        idle_max_ms = IDLE_MAX_MS if may_retry else UNREPEATABLE_IDLE_MS
         encoded = encode_attempt(self.call, told, self.parts.dialect)
         try:
             self._connection = await self.parts.pool.acquire(
@@ -108,41 +110,44 @@
         return None
 
     async def receive(self, timeout_ms: float) -> AnswerItem | None:
-        """Return the next item of the answer, or none in time."""
+        """Return the next item of the response, or None after the timeout."""
         if self._connection is None:
-            return AnswerLost('nothing was sent')
-        arrived = await self._connection.receive(timeout_ms)
-        if arrived is not None and not isinstance(arrived, AnswerLost):
+            return AnswerLost('the request was not sent in this attempt')
+        received = await self._connection.receive(timeout_ms)
+        if received is not None and not isinstance(received, AnswerLost):
             self.parts.directory.record_heard(self.upstream)
-        return arrived
+        return received
 
     def refusal(self, head: AnswerHead) -> NotRun | None:
-        """Return that the upstream did not run the request, if it says so."""
-        says_not_run = head.header(self.parts.dialect.not_run) is not None
-        if says_not_run or head.status == MISDIRECTED:
+        """Return `NotRun` if the head says that the request was not run."""
+        has_not_run_header = head.header(self.parts.dialect.not_run) is not None
+        if has_not_run_header or head.status == MISDIRECTED:
             return NotRun(head.status)
         return None
 
     def lacks_signature(self, head: AnswerHead) -> bool:
-        """Return whether a success can't be the upstream's own."""
+        """Return whether a successful response lacks its signature.
+
+        Such a response can't come from the upstream itself.
+        """
         is_success = _OK <= head.status < _FIRST_REDIRECT
         signature = head.header(self.parts.dialect.signature)
         return is_success and signature is None
 
 
 async def read_whole(attempt: Attempt, patience_ms: float) -> AttemptOutcome:
-    """Return the whole answer, or why there is none in time."""
-    answer = _HeldAnswer(attempt)
+    """Return the complete response, or why there is none within the time."""
+    response = _HeldAnswer(attempt)
     end_ms = attempt.parts.clock.now_ms() + patience_ms
     outcome: AttemptOutcome | None = None
     while outcome is None:
-        left_ms = end_ms - attempt.parts.clock.now_ms()
-        outcome = answer.take(await attempt.receive(left_ms))
+        remaining_ms = end_ms - attempt.parts.clock.now_ms()
+        outcome = response.take(await attempt.receive(remaining_ms))
     return outcome
 
 
 class _HeldAnswer:
-    """Answer that is held until it is whole."""
+    """Response that is buffered until it is complete."""
 
     def __init__(self, attempt: Attempt) -> None:
         self._attempt = attempt
@@ -150,7 +155,7 @@
         self._body = bytearray()
 
     def take(self, arrived: AnswerItem | None) -> AttemptOutcome | None:
-        """Take in an item; return the outcome with the last one."""
+        """Add an item; return the outcome if no more items are needed."""
         match arrived:
             case AnswerHead():
                 return self._take_head(arrived)
@@ -166,17 +171,19 @@
     def _take_head(self, head: AnswerHead) -> AttemptOutcome | None:
         self._head = head
         if self._attempt.lacks_signature(head):
-            return Broken('a success without signature')
+            return Broken('successful response without a signature')
         return None
 
     def _take_part(self, part: bytes) -> AttemptOutcome | None:
         self._body += part
         if len(self._body) > WHOLE_ANSWER_BYTES_MAX:
-            return Broken(f'more than {WHOLE_ANSWER_BYTES_MAX} bytes')
+            return Broken(
+                f'response of more than {WHOLE_ANSWER_BYTES_MAX} bytes',
+            )
         return None
 
     def _whole(self) -> AttemptOutcome:
         if self._head is None:
-            return Broken('an end without a head')
+            return Broken('response ended without a status line')
         refusal = self._attempt.refusal(self._head)
         return refusal or Answered(self._head, bytes(self._body))
--- a/bergamotthread/request/relay/attempt_loop.py
+++ b/bergamotthread/request/relay/attempt_loop.py
@@ -1,4 +1,4 @@
-"""The attempts of a call, one after another, within its limits."""
+"""Loop over the attempts of a call, within the call's limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from bergamotthread.request.relay.call import RelayedCall
 from bergamotthread.request.relay.parts import RelayParts
 
-# Pause before looking for an upstream again where there was none.
+# Pause before placement is tried again where no upstream was available.
 LOOK_AGAIN_MS = 100
 
 _Place = TypeVar('_Place')
@@ -16,12 +16,12 @@
 
 @dataclass
 class AttemptLimits:
-    """Time, number and budget of the attempts of one call.
+    """Limits on time, number and retry budget of one call's attempts.
 
     Parameters
     ----------
     sent
-        Attempts whose request was sent.
+        Number of attempts whose request was sent.
     """
 
     call: RelayedCall
@@ -30,35 +30,38 @@
 
     @property
     def remaining_ms(self) -> float:
-        """Return the time left to the call's deadline."""
+        """Return the time left until the call's deadline."""
         return self.call.deadline_ms - self.parts.clock.now_ms()
 
     @property
     def is_below_max(self) -> bool:
-        """Return whether the route allows another attempt."""
+        """Return whether fewer attempts were sent than the route allows."""
         return self.sent < self.call.route.attempts_max
 
     def is_affordable(self) -> bool:
-        """Return whether an attempt is the first or within the budget."""
+        """Return whether the next attempt is the first or within the budget.
+
+        A retry that is allowed is counted in the budget.
+        """
         if not self.sent:
             return True
         return self.parts.budget.spend(self.call.service.name)
 
 
 class AttemptSteps(Protocol[_Place]):
-    """What differs between the attempts of one kind of call and another."""
+    """Steps of an attempt that depend on the kind of call."""
 
     def may_send(self) -> bool:
         """Return whether another attempt is allowed."""
 
     async def place(self) -> _Place | None:
-        """Return where the next attempt goes, or none for now."""
+        """Return where the next attempt goes, or None if nowhere for now."""
 
     def may_wait(self) -> bool:
-        """Return whether there is time to look for an upstream again."""
+        """Return whether placement may be tried again after a pause."""
 
     async def is_settled_at(self, place: _Place) -> bool:
-        """Run an attempt; return whether the caller needs no other."""
+        """Run an attempt; return whether no further attempt is needed."""
 
 
 async def run_attempts(
@@ -67,7 +70,7 @@
 ) -> bool:
     """Run attempts until one settles the call; return whether one did.
 
-    A repeat is taken from the budget only once there is an upstream for it.
+    A retry is counted in the budget only once there is an upstream for it.
     """
     limits.parts.budget.record_first(limits.call.service.name)
     while limits.remaining_ms > 0 and steps.may_send():
--- a/bergamotthread/request/relay/call.py
+++ b/bergamotthread/request/relay/call.py
@@ -1,4 +1,4 @@
-"""One relayed request with all that its attempts need."""
+"""A relayed request and the encoding of its attempts."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
 )
 from bergamotthread.version.route_table import RelayRoute, RelayService
 
-# Tokens counted for a prompt that tells none.
+# Assumed length of a prompt whose caller sends no token count.
 DEFAULT_PROMPT_TOKENS = 1000
 
 
 @dataclass(frozen=True)
 class RelayedCall:
-    """A request of a caller that was admitted.
+    """An admitted request of a caller.
 
     Parameters
     ----------
     team
-        Team of the caller's key; empty where the route asks for none.
+        Team of the caller's key; empty if the route needs no key.
     deadline_ms
-        Monotonic time by which it has its final answer.
+        Monotonic time by which the caller must have the complete response.
     resume_after
-        Last event that the caller holds; none for a new stream.
+        Identifier of the last event that the caller received; None for a new
+        stream.
     affinity
-        What names the prompt; empty if nothing does.
+        Key of the prompt for cache affinity; empty if the request names none.
     """
 
     exchange: Exchange
@@ -51,18 +52,18 @@
 
     @property
     def request(self) -> CallerRequest:
-        """Return what the caller sent."""
+        """Return the caller's request."""
         return self.exchange.request
 
     @property
     def label(self) -> str:
-        """Return the request's identifier for logs."""
+        """Return the request's identifier as text, for logs and copies."""
         return self.request_id.decode('latin-1')
 
 
 @dataclass(frozen=True)
 class AttemptHeaders:
-    """What the entry tells the upstream of one attempt."""
+    """Values of the header fields that the entry adds to one attempt."""
 
     instance: str
     remaining_ms: float
@@ -76,20 +77,20 @@
     told: AttemptHeaders,
     dialect: RelayDialect,
 ) -> bytes:
-    """Return the bytes of a call's request to one upstream."""
+    """Return the encoded request of one attempt."""
     request = call.request
-    headers = [
+    fields = [
         header
         for header in end_to_end(request.headers)
         if _goes_on(header[0], dialect)
     ]
-    remaining = max(int(told.remaining_ms), 1)
-    headers.extend(_known_fields(call, told, dialect))
-    headers.append((dialect.remaining_ms, b'%d' % remaining))
+    remaining_ms = max(int(told.remaining_ms), 1)
+    fields.extend(_known_fields(call, told, dialect))
+    fields.append((dialect.remaining_ms, b'%d' % remaining_ms))
     return encode_request(
         request.method,
         request.target,
-        headers,
+        fields,
         request.body,
     )
 
--- a/bergamotthread/request/relay/copies.py
+++ b/bergamotthread/request/relay/copies.py
@@ -1,8 +1,8 @@
-"""Where the copy of a stream's memory is, kept up while the stream runs.
+"""Copy of a stream's KV cache at another upstream, renewed during the stream.
 
-An upstream copies the memory as it grows to the one that it was told at the
-start. If that one is lost, the memory is copied to another, and again every
-`RECOPY_MS`, since a copy that is not renewed is dropped.
+An upstream sends its growing KV cache to the copy holder that the request
+names. If that holder is lost, the entry has the cache copied to another one,
+and again every `RECOPY_MS`, since holders drop a copy that is not renewed.
 """
 
 from __future__ import annotations
@@ -15,20 +15,22 @@
 from bergamotthread.process.relay.upstreams import Upstream
 from bergamotthread.request.relay.parts import RelayParts
 
-# Holders drop a copy some time (4 s) after its last part.
+# Interval between copies; holders drop a copy 4 s after its last part.
 RECOPY_MS = 2000
-# Pause after a copy that failed.
+# Pause after a failed copy.
 COPY_RETRY_MS = 500
 
 
 @dataclass(frozen=True)
 class MemoryCopy:
-    """Copy of a run's memory at another upstream.
+    """Copy of a run's KV cache at another upstream.
 
     Parameters
     ----------
+    holder
+        Upstream that holds the copy.
     source
-        What names the copy to its holder.
+        Identifier by which a request tells the holder to resume from the copy.
     """
 
     holder: Upstream
@@ -36,7 +38,7 @@
 
 
 class CopyKeeper:
-    """Keeps one usable copy of one run."""
+    """Maintains one usable copy of the KV cache of one run."""
 
     def __init__(
         self,
@@ -55,7 +57,7 @@
         self._is_streamed = False
 
     def begin(self, upstream: Upstream, target: Upstream | None) -> None:
-        """Start with the copy that the upstream sends on its own."""
+        """Start an attempt, whose upstream sends a copy to `target`."""
         self.stop()
         self._upstream = upstream
         self._copy = None
@@ -66,18 +68,19 @@
             self._copy = MemoryCopy(target, source)
 
     def keep(self, work: Callable[[], Work]) -> None:
-        """Replace a copy whose holder is lost; called as events arrive.
+        """Replace or renew the copy if needed; called as events arrive.
 
         Parameters
         ----------
         work
-            Tells what the run asks of a holder; asked only for a new copy.
+            Returns what the run requires of a holder; called only if a copy is
+            due.
         """
         now_ms = self._parts.clock.now_ms()
         if self._task is not None or now_ms < self._due_ms:
             return
-        is_lost = self._copy is None or bool(self._fault(self._copy))
-        if self._is_streamed and not is_lost:
+        is_unusable = self._copy is None or bool(self._fault(self._copy))
+        if self._is_streamed and not is_unusable:
             return
         target = self._target(work())
         if target is not None and self._upstream is not None:
@@ -86,46 +89,49 @@
             )
 
     def take(self) -> MemoryCopy | None:
-        """Return the copy to go on from, if there is one; it is used up."""
+        """Remove and return the usable copy, or None if there is none."""
         self.stop()
         self._count(None)
         copy = self._copy
         self._copy = None
         if copy is None:
             return None
-        fault = self._fault(copy)
-        if not fault:
+        reason = self._fault(copy)
+        if not reason:
             return copy
         self._parts.log.write(
             'copy-unusable',
             request=self._label,
             holder=copy.holder.record.instance,
             domain=copy.holder.record.failure_domain,
-            reason=fault,
+            reason=reason,
         )
         return None
 
     def drop(self) -> None:
-        """Forget the copy."""
+        """Discard the record of the copy, without a call to its holder."""
         self.stop()
         self._count(None)
         self._copy = None
 
     async def free(self) -> None:
-        """Free a copy that is not needed, since room is paid by time."""
+        """Free a copy that the entry had made and that is no longer needed.
+
+        The memory of a copy is paid for by time.
+        """
         copy = self._copy
         self.drop()
         if copy is not None and not self._is_streamed and self._upstream:
             await self._parts.memory.drop(self._upstream, copy.source)
 
     def stop(self) -> None:
-        """Stop copying."""
+        """Cancel a copy that is under way."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     def _count(self, holder: Upstream | None) -> None:
-        """Count this run's memory at its holder, and nowhere else."""
+        """Count this run's tokens at `holder` instead of the former holder."""
         if self._counted is not None:
             self._counted.held_tokens -= self._tokens
         if holder is not None:
@@ -133,16 +139,16 @@
         self._counted = holder
 
     def _fault(self, copy: MemoryCopy) -> str:
-        """Return why a copy can't be used; empty if it can."""
+        """Return why a copy can't be used; empty if it is usable."""
         directory = self._parts.directory
         if directory.get(copy.holder.record.instance) is not copy.holder:
-            return 'its holder has gone'
+            return 'its holder is no longer listed or was replaced'
         if directory.is_lost(copy.holder):
-            return 'its holder is lost'
+            return 'its holder is marked lost'
         return ''
 
     def _target(self, work: Work) -> Upstream | None:
-        """Return the holder to renew, or another one if it is lost."""
+        """Return the current holder, or a new one if the copy is unusable."""
         copy = self._copy
         if copy is not None and not self._fault(copy):
             return copy.holder
--- a/bergamotthread/request/relay/dialect.py
+++ b/bergamotthread/request/relay/dialect.py
@@ -1,4 +1,4 @@
-"""Header fields by which callers, entries and upstreams tell their part."""
+"""Names of the header fields that entries exchange with their peers."""
 
 from __future__ import annotations
 
@@ -15,29 +15,31 @@
     Parameters
     ----------
     request_id
-        Identifier of one try of a caller; upstreams echo it.
+        Identifier of one request of a caller, different for each retry of the
+        caller; upstreams echo it.
     remaining_ms
-        Time that the caller, or the upstream, has left.
+        Time until the deadline, in milliseconds.
     expected_instance
-        Incarnation that alone may run the request.
+        Identifier of the only incarnation that may run the request.
     team
-        Team of the caller's key, for the upstream.
+        Team of the caller's key, sent to the upstream.
     signature
-        Proof of an upstream that the answer is its own.
+        Signature by which an upstream proves that the response is its own.
     not_run
-        Present in an answer that says the upstream did not run the request.
+        Present in a response if the upstream did not run the request.
     token_counts
         Tokens of the prompt and the largest number of tokens generated,
         separated by a comma.
     prompt_parts
         Parts of the prompt in order, as ``ID:TOKENS`` separated by commas;
-        the last is the request's or its session's own.
+        the last part belongs to the request or its session alone.
     copy_target
-        Address of the upstream to which the run's memory is copied.
+        Address of the upstream to which the run's KV cache is copied.
     copy_source
-        Copy from which a run goes on: address, a slash, and its name.
+        Copy from which a run resumes, as ``ADDRESS/NAME``.
     set_by_entry
-        Fields that callers may not set.
+        Fields that only the entry sets; they are removed from callers'
+        requests.
     """
 
     request_id: bytes
--- a/bergamotthread/request/relay/engine_memory.py
+++ b/bergamotthread/request/relay/engine_memory.py
@@ -1,4 +1,4 @@
-"""The memory of engines: copies of runs, and prompts that are cached."""
+"""KV caches of engines: copies of runs and cached prompts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EngineMemory(ABC):
-    """Back end that looks into and copies the memory of upstreams."""
+    """Back end that queries and copies the KV caches of upstreams."""
 
     @abstractmethod
     async def copy(
@@ -17,19 +17,19 @@
         request_id: str,
         target: Upstream,
     ) -> str:
-        """Copy a run's memory while it goes on.
+        """Copy the KV cache of a running request.
 
         Returns
         -------
         str
-            What names the copy to the upstream that goes on from it; empty if
-            there is none.
+            Identifier by which the target finds the copy when it resumes the
+            run; empty if no copy was made.
         """
 
     @abstractmethod
     async def drop(self, source: Upstream, name: str) -> None:
-        """Free a copy that `copy` named, at both ends."""
+        """Free a copy that `copy` made, at the source and the target."""
 
     @abstractmethod
     async def cached_tokens(self, upstream: Upstream, part: bytes) -> int:
-        """Return the tokens cached of one part of a prompt; 0 if none."""
+        """Return how many tokens of a prompt part are cached; 0 if none."""
--- a/bergamotthread/request/relay/events.py
+++ b/bergamotthread/request/relay/events.py
@@ -1,22 +1,22 @@
-"""Whole events of a stream (server-sent events)."""
+"""Splitting of a stream into complete server-sent events."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# An event of a model's answer takes some hundred bytes.
+# Largest event; an event of a model's response takes some hundred bytes.
 EVENT_BYTES_MAX = 1_048_576
 _BLANK_LINES = (b'\n\n', b'\r\n\r\n')
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event.
+    """One complete event.
 
     Parameters
     ----------
     event_id
-        Its identifier, or none if it has none or one that is no number.
+        Number in the ``id`` field; None if it is missing or not a number.
     """
 
     payload: bytes
@@ -28,14 +28,14 @@
 
 
 class EventSplitter:
-    """Cuts a stream's bytes into whole events."""
+    """Splits the bytes of a stream into complete events."""
 
     def __init__(self) -> None:
         self._pending = b''
 
     @property
     def has_partial(self) -> bool:
-        """Return whether an event was begun and has not ended."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._pending)
 
     def feed(self, received: bytes) -> list[StreamEvent]:
@@ -44,7 +44,7 @@
         Raises
         ------
         EventTooLongError
-            If an event has no end within the bound.
+            If an event does not end within `EVENT_BYTES_MAX` bytes.
         """
         self._pending += received
         events = []
@@ -74,8 +74,8 @@
 
 def _event_id(payload: bytes) -> int | None:
     for line in payload.splitlines():
-        name, _, told = line.partition(b':')
-        told = told.strip()
-        if name == b'id' and told.isdigit():
-            return int(told)
+        name, _, text = line.partition(b':')
+        text = text.strip()
+        if name == b'id' and text.isdigit():
+            return int(text)
     return None
--- a/bergamotthread/request/relay/outcomes.py
+++ b/bergamotthread/request/relay/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt at an upstream ended."""
+"""Outcomes of an attempt at an upstream."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No connection was made; the upstream saw nothing."""
+    """The request was not sent, so the upstream did not receive it."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The upstream said that it did not and will not run the request."""
+    """The upstream stated that it did not and will not run the request."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The upstream's whole answer."""
+    """The upstream sent a complete response."""
 
     head: AnswerHead
     body: bytes
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """The last event of a stream was passed on."""
+    """The last event of a stream was forwarded to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The upstream may have run the request; its answer is not whole."""
+    """The response is incomplete; the upstream may have run the request."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutOfTime:
-    """The caller's time ended first."""
+    """No complete response arrived within the time allowed."""
 
 
 AttemptOutcome = NotSent | NotRun | Answered | StreamEnded | Broken | OutOfTime
--- a/bergamotthread/request/relay/pace.py
+++ b/bergamotthread/request/relay/pace.py
@@ -1,4 +1,4 @@
-"""Times of a stream's events."""
+"""Timing of the events of a stream."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 
 @dataclass
 class Pace:
-    """When events came: of one attempt, or of the whole answer.
+    """Arrival times, either of one attempt or of the response to the caller.
 
     Parameters
     ----------
     sent_ms
         Monotonic time at which the wait for the first event began.
+    parts
+        Number of parts or events that arrived.
     first_ms, longest_gap_ms
-        Time to the first event and the longest pause after it.
+        Time to the first event and the longest gap between two events.
     span_ms
         Time from the first event to the last.
     """
@@ -27,7 +29,7 @@
     _last_ms: float = 0
 
     def record(self, now_ms: float) -> None:
-        """Note that a part arrived."""
+        """Record the arrival of a part or event."""
         self.parts += 1
         if self.parts == 1:
             self.first_ms = now_ms - self.sent_ms
--- a/bergamotthread/request/relay/parts.py
+++ b/bergamotthread/request/relay/parts.py
@@ -1,4 +1,4 @@
-"""What the relays of one process share."""
+"""Objects shared by the relays of one process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class RelayParts:
-    """Parts that live as long as the process."""
+    """Dependencies of all relays, created once for each process."""
 
     clock: Clock
     pool: UpstreamPool
--- a/bergamotthread/request/relay/placement.py
+++ b/bergamotthread/request/relay/placement.py
@@ -1,4 +1,4 @@
-"""Where the next attempt of a stream goes, and where its memory is copied."""
+"""Choice of the upstream and of the copy holder for an attempt of a stream."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """Where an attempt runs, from which copy, and where to it is copied."""
+    """Upstream of an attempt, with its copies of the KV cache.
+
+    Parameters
+    ----------
+    copy
+        Copy from which the attempt resumes, held by `upstream`.
+    target
+        Upstream to which the KV cache of the attempt is copied.
+    """
 
     upstream: Upstream
     copy: MemoryCopy | None = None
@@ -23,26 +31,26 @@
 
 @dataclass(frozen=True)
 class StreamPlacer:
-    """Places the attempts of one stream."""
+    """Chooses the upstreams for the attempts of one stream."""
 
     call: RelayedCall
     parts: RelayParts
 
     @property
     def may_copy(self) -> bool:
-        """Return whether the service's engines copy memory."""
+        """Return whether the service's engines can copy their KV cache."""
         engine = self.call.service.engine
         return engine is not None and engine.copies_memory
 
     def work(self, excluded: frozenset[str], *, is_first: bool) -> Work:
-        """Return what an attempt asks of an upstream.
+        """Return what an attempt requires of an upstream.
 
         Parameters
         ----------
         excluded
-            Instances that are not used.
+            Instances that must not be chosen.
         is_first
-            Whether nothing was sent for this call yet.
+            Whether no attempt of this call was sent yet.
         """
         call = self.call
         return Work(
@@ -54,13 +62,19 @@
         )
 
     def from_copy(self, copy: MemoryCopy, work: Work) -> Placement:
-        """Place an attempt with the holder of a copy."""
+        """Place an attempt at the holder of a copy."""
         domain = copy.holder.record.failure_domain
         target = self.parts.choice.choose_elsewhere(work, domain)
         return Placement(copy.holder, copy, target)
 
     async def place(self, work: Work) -> Placement | None:
-        """Place an attempt that reads its prompt, or none for now."""
+        """Place an attempt that resumes from no copy.
+
+        Returns
+        -------
+        Placement or None
+            None if no upstream is available now.
+        """
         candidates = self.parts.choice.draw(work)
         if not candidates:
             return None
@@ -75,16 +89,17 @@
         candidates: list[Upstream],
         work: Work,
     ) -> list[Upstream]:
-        """Return who has read the prompt of a caller that comes back.
+        """Return candidates that cache the prompt of a reconnecting caller.
 
-        Its stream ended with another entry, which knew where it ran.
+        The stream was cut at another entry, and only that entry knew which
+        upstream ran it.
         """
         if not work.is_return or not work.affinity:
             return []
         cached = await asyncio.gather(
             *(
-                self.parts.memory.cached_tokens(one, work.affinity)
-                for one in candidates
+                self.parts.memory.cached_tokens(upstream, work.affinity)
+                for upstream in candidates
             ),
         )
         self.parts.log.write(
@@ -94,33 +109,38 @@
             candidates=len(candidates),
         )
         return [
-            one
-            for one, tokens in zip(candidates, cached, strict=True)
+            upstream
+            for upstream, tokens in zip(candidates, cached, strict=True)
             if tokens
         ]
 
     async def _alive(self, candidates: list[Upstream]) -> list[Upstream]:
         answers = await asyncio.gather(
-            *(self.parts.liveness.refresh(one) for one in candidates),
+            *(self.parts.liveness.refresh(upstream) for upstream in candidates),
         )
         return [
-            one
-            for one, is_alive in zip(candidates, answers, strict=True)
+            upstream
+            for upstream, is_alive in zip(candidates, answers, strict=True)
             if is_alive
         ]
 
     def _cheapest(self, alive: list[Upstream], work: Work) -> Placement:
         choice = self.parts.choice
         costs = {
-            one.record.instance: choice.cost_ms(one, work)
+            upstream.record.instance: choice.cost_ms(upstream, work)
             + choice.rank_ms(rank, work)
-            for rank, one in enumerate(alive)
+            for rank, upstream in enumerate(alive)
         }
-        ranked = sorted(alive, key=lambda one: costs[one.record.instance])
+        ranked = sorted(
+            alive,
+            key=lambda upstream: costs[upstream.record.instance],
+        )
         chosen = ranked[0]
         domain = chosen.record.failure_domain
         elsewhere = [
-            one for one in ranked if one.record.failure_domain != domain
+            upstream
+            for upstream in ranked
+            if upstream.record.failure_domain != domain
         ]
         target = choice.holder_among(elsewhere or ranked[1:])
         if not self.may_copy:
--- a/bergamotthread/request/relay/plain_relay.py
+++ b/bergamotthread/request/relay/plain_relay.py
@@ -1,4 +1,4 @@
-"""Relay of a request whose answer is passed on when it is whole."""
+"""Relay of a request whose response is forwarded once it is complete."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from bergamotthread.request.relay.parts import RelayParts
 from bergamotthread.request.relay.refusals import RelayRefusal, send_refusal
 
-# Share of the goal after which a request that may be repeated is sent to
-# another upstream.
+# Fraction of the target response time after which a request that may be retried
+# is sent to another upstream.
 PATIENCE_SHARE = 0.6
-# Time that an upstream is given beyond the deadline to say that it is over.
+# Time beyond the deadline for the upstream's own response that it has passed.
 ANSWER_MARGIN_MS = 30
-# Share of a request's time for which it waits for any upstream.
+# Fraction of a request's time limit for which it waits for an upstream.
 WAIT_SHARE = 0.2
 RETRY_AFTER_MS = 300
 _SERVER_ERROR = 500
@@ -44,11 +44,11 @@
         self._may_have_run = False
         self._last = ''
         received_ms = call.request.received_ms
-        total_ms = call.deadline_ms - received_ms
-        self._look_until_ms = received_ms + total_ms * WAIT_SHARE
+        timeout_ms = call.deadline_ms - received_ms
+        self._look_until_ms = received_ms + timeout_ms * WAIT_SHARE
 
     async def run(self) -> None:
-        """Answer the caller."""
+        """Run the attempts and respond to the caller."""
         if not await run_attempts(self._limits, self):
             self._refuse(self._final_refusal())
 
@@ -57,7 +57,7 @@
         return self._limits.is_below_max
 
     async def place(self) -> Upstream | None:
-        """Return the upstream of the next attempt, or none for now."""
+        """Return the upstream of the next attempt, or None if none for now."""
         work = Work(self._call.service.name, excluded=self._excluded)
         upstream = self._parts.choice.choose(work)
         if upstream is None and self._excluded:
@@ -65,38 +65,38 @@
         return upstream
 
     def may_wait(self) -> bool:
-        """Return whether there is time to look for an upstream again."""
+        """Return whether placement may be tried again after a pause."""
         return self._parts.clock.now_ms() <= self._look_until_ms
 
     async def is_settled_at(self, place: Upstream) -> bool:
-        """Run an attempt; return whether the caller has its answer."""
+        """Run an attempt; return whether the caller has its response."""
         outcome = await self._attempt(place)
         self._log_outcome(place, outcome)
         return self._settles(place, outcome)
 
     async def _attempt(self, upstream: Upstream) -> AttemptOutcome:
-        told = AttemptHeaders(
+        headers = AttemptHeaders(
             upstream.record.instance,
             self._limits.remaining_ms,
         )
         with Attempt(self._call, upstream, self._parts) as attempt:
-            not_sent = await attempt.send(told)
+            not_sent = await attempt.send(headers)
             if not_sent is not None:
                 return not_sent
             self._limits.sent += 1
             return await read_whole(attempt, self._patience_ms())
 
     def _patience_ms(self) -> float:
-        """Return how long this attempt may take."""
-        left_ms = self._limits.remaining_ms + ANSWER_MARGIN_MS
-        may_repeat = self._call.route.repeatability.may_repeat
-        if not may_repeat or self._limits.sent > 1:
-            return left_ms
-        goal_ms = self._call.route.first_event_goal_ms
-        return min(left_ms, goal_ms * PATIENCE_SHARE)
+        """Return the timeout of the attempt that was just sent."""
+        remaining_ms = self._limits.remaining_ms + ANSWER_MARGIN_MS
+        may_retry = self._call.route.repeatability.may_repeat
+        if not may_retry or self._limits.sent > 1:
+            return remaining_ms
+        target_ms = self._call.route.first_event_goal_ms
+        return min(remaining_ms, target_ms * PATIENCE_SHARE)
 
     def _settles(self, upstream: Upstream, outcome: AttemptOutcome) -> bool:
-        """Return whether the caller has its answer."""
+        """Handle an outcome; return whether the caller has its response."""
         failed = not isinstance(outcome, Answered)
         self._parts.directory.record_outcome(upstream, failed=failed)
         self._excluded |= {upstream.record.instance}
@@ -126,7 +126,11 @@
         if self._may_repeat():
             return False
         if isinstance(outcome, OutOfTime):
-            refusal = RelayRefusal(504, 'timeout', 'no answer in time')
+            refusal = RelayRefusal(
+                504,
+                'timeout',
+                'the upstream sent no response in time',
+            )
         else:
             refusal = RelayRefusal(502, 'upstream-lost', self._last)
         self._refuse(refusal)
--- a/bergamotthread/request/relay/refusals.py
+++ b/bergamotthread/request/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of the entry's own: a problem document and when to come again."""
+"""Error responses of the entry itself: a problem document and Retry-After."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 @dataclass(frozen=True)
 class RelayRefusal:
-    """Why a request has no answer of an upstream.
+    """Reason why a request gets no response of an upstream.
 
     Parameters
     ----------
     status
-        503 and 429 promise that it did not run; 502 and 504 do not.
+        HTTP status. 503 and 429 guarantee that the request did not run; 502
+        and 504 do not.
     retry_after_ms
-        When to come again; 0 for not at all.
+        Time after which the caller may retry; 0 sends no Retry-After header.
     """
 
     status: int
@@ -31,7 +32,7 @@
 
 
 def send_refusal(exchange: Exchange, refusal: RelayRefusal) -> None:
-    """Send a refusal as the whole answer."""
+    """Send a refusal as the complete response."""
     problem = {
         'type': f'urn:bergamotthread:{refusal.reason}',
         'status': refusal.status,
--- a/bergamotthread/request/relay/stream_relay.py
+++ b/bergamotthread/request/relay/stream_relay.py
@@ -1,8 +1,8 @@
-"""Relay of a stream of events that goes on at another upstream after a loss.
+"""Relay of an event stream that resumes at another upstream after a loss.
 
-The caller sees one answer: the head of the first upstream, then whole events
-in order. While a stream runs, its memory is copied to an upstream in another
-failure domain, where it goes on with little to read again.
+The caller sees one response: the head from the first upstream, then complete
+events in order. While a stream runs, its KV cache is copied to an upstream in
+another failure domain, where the stream can resume with little prefill.
 """
 
 from __future__ import annotations
@@ -50,12 +50,13 @@
 from bergamotthread.request.relay.placement import Placement, StreamPlacer
 from bergamotthread.request.relay.refusals import RelayRefusal, send_refusal
 
-# A stream that pauses for this long is taken to another upstream although its
-# own still answers probes; prompts of others stretch a gap to 300 ms.
+# A stream without an event for this long is resumed at another upstream even if
+# its own still answers probes; prefill of other prompts delays events by up to
+# 300 ms.
 STALL_MS = 1200
-# The same before the first event of a run that goes on from a copy.
+# The same limit before the first event of a run that resumes from a copy.
 COPY_STALL_MS = 1500
-# Share of the goal for which a stream waits for any upstream.
+# Fraction of the first-event target for which a stream waits for an upstream.
 WAIT_SHARE = 0.4
 RETRY_AFTER_MS = 500
 _OK = 200
@@ -77,12 +78,12 @@
         self._caller_pace = Pace(call.request.received_ms)
         self._is_from_copy = False
         self._last = ''
-        goal_ms = call.route.first_event_goal_ms
+        target_ms = call.route.first_event_goal_ms
         received_ms = call.request.received_ms
-        self._look_until_ms = received_ms + goal_ms * WAIT_SHARE
+        self._look_until_ms = received_ms + target_ms * WAIT_SHARE
 
     async def run(self) -> None:
-        """Answer the caller."""
+        """Run the attempts and respond to the caller."""
         try:
             if not await run_attempts(self._limits, self):
                 self._give_up()
@@ -91,14 +92,17 @@
             self._copies.drop()
 
     def may_send(self) -> bool:
-        """Return whether the kind and the route allow another attempt."""
-        may_repeat = self._call.route.repeatability.may_repeat
-        if self._may_have_run and not may_repeat:
+        """Return whether the route allows another attempt.
+
+        After a request that may have run, it must allow retries as well.
+        """
+        may_retry = self._call.route.repeatability.may_repeat
+        if self._may_have_run and not may_retry:
             return False
         return self._limits.is_below_max
 
     async def place(self) -> Placement | None:
-        """Return where the next attempt goes, or none for now."""
+        """Return where the next attempt goes, or None if nowhere for now."""
         copy = self._copies.take()
         if copy is not None and self._pace.parts:
             return self._placer.from_copy(
@@ -111,13 +115,16 @@
         return placement
 
     def may_wait(self) -> bool:
-        """Return whether there is time to look for an upstream again."""
+        """Return whether placement may be tried again after a pause.
+
+        A stream that may have run waits until its deadline.
+        """
         if self._call.exchange.has_head or self._may_have_run:
             return True
         return self._parts.clock.now_ms() <= self._look_until_ms
 
     async def is_settled_at(self, place: Placement) -> bool:
-        """Run an attempt; return whether the caller needs no other."""
+        """Run an attempt; return whether no further attempt is needed."""
         outcome = await self._attempt(place)
         self._log_outcome(place, outcome)
         return self._settles(place, outcome)
@@ -132,7 +139,7 @@
         upstream = placement.upstream
         target = placement.target
         copy = placement.copy
-        told = AttemptHeaders(
+        headers = AttemptHeaders(
             upstream.record.instance,
             self._limits.remaining_ms,
             resume_after=self._last_event,
@@ -140,7 +147,7 @@
             copy_source=copy.source if copy else '',
         )
         with Attempt(self._call, upstream, self._parts) as attempt:
-            not_sent = await attempt.send(told)
+            not_sent = await attempt.send(headers)
             if not_sent is not None:
                 return not_sent
             self._limits.sent += 1
@@ -154,21 +161,21 @@
         head = await self._next(attempt)
         if not isinstance(head, AnswerHead):
             return self._end(head, None, splitter)
-        settled = self._take_head(attempt, head)
-        if settled is not None:
-            return settled
-        arrived = await self._next(attempt)
-        while isinstance(arrived, AnswerPart):
+        head_outcome = self._take_head(attempt, head)
+        if head_outcome is not None:
+            return head_outcome
+        received = await self._next(attempt)
+        while isinstance(received, AnswerPart):
             attempt.end_prefill()
             self._pace.record(self._parts.clock.now_ms())
             if self._placer.may_copy:
                 self._copies.keep(self._work)
             try:
-                await self._take_part(arrived.payload, splitter)
+                await self._take_part(received.payload, splitter)
             except EventTooLongError as error:
                 return Broken(str(error))
-            arrived = await self._next(attempt)
-        return self._end(arrived, head, splitter)
+            received = await self._next(attempt)
+        return self._end(received, head, splitter)
 
     async def _take_part(
         self,
@@ -180,27 +187,32 @@
         await self._call.exchange.writable()
 
     async def _next(self, attempt: Attempt) -> AnswerItem | None:
-        """Return the next item; none at the deadline."""
+        """Return the next item of the response; None at the deadline.
+
+        A silent upstream is probed, and marked lost if it does not respond.
+        """
         started_ms = self._parts.clock.now_ms()
         silence_ms = SILENCE_MS if self._pace.parts else READING_SILENCE_MS
         while True:
             wait_ms = min(silence_ms, attempt.remaining_ms)
-            arrived = await attempt.receive(wait_ms)
-            if arrived is not None:
-                return arrived
+            received = await attempt.receive(wait_ms)
+            if received is not None:
+                return received
             if attempt.remaining_ms <= 0:
                 return None
             liveness = self._parts.liveness
             if not await liveness.is_alive(attempt.upstream, silence_ms):
-                arrived = await attempt.receive(0)
-                return arrived or AnswerLost('the upstream is silent')
+                received = await attempt.receive(0)
+                return received or AnswerLost('upstream did not answer a probe')
             silent_ms = self._parts.clock.now_ms() - started_ms
             if silent_ms > self._stall_ms:
-                return AnswerLost(f'no event for {silent_ms:.0f} ms')
+                return AnswerLost(
+                    f'stream stalled: no event for {silent_ms:.0f} ms',
+                )
 
     @property
     def _stall_ms(self) -> float:
-        """Return the longest wait for the next event of this attempt."""
+        """Return the longest time to wait for the next event."""
         if self._pace.parts:
             return STALL_MS
         return COPY_STALL_MS if self._is_from_copy else math.inf
@@ -210,7 +222,7 @@
         attempt: Attempt,
         head: AnswerHead,
     ) -> AttemptOutcome | None:
-        """Pass the first head on; return an outcome if this is no stream."""
+        """Forward the first head; return an outcome if no stream follows."""
         refusal = attempt.refusal(head)
         if refusal is not None:
             return refusal
@@ -221,9 +233,9 @@
         return None
 
     def _pass_on(self, event: StreamEvent) -> None:
-        known = self._last_event
+        last_event = self._last_event
         if event.event_id is not None:
-            if known is not None and event.event_id <= known:
+            if last_event is not None and event.event_id <= last_event:
                 return
             self._last_event = event.event_id
         self._caller_pace.record(self._parts.clock.now_ms())
@@ -240,13 +252,13 @@
         if not isinstance(arrived, AnswerEnd):
             return OutOfTime()
         if splitter.has_partial:
-            return Broken('the stream ended within an event')
+            return Broken('the stream ended in the middle of an event')
         if head is None or head.framing is Framing.CLOSE:
-            return Broken('the stream has no marked end')
+            return Broken('connection closed, but the stream has no end marker')
         return StreamEnded()
 
     def _settles(self, placement: Placement, outcome: AttemptOutcome) -> bool:
-        """Return whether the caller has its answer, or none is left to give."""
+        """Handle an outcome; return whether no further attempt is needed."""
         failed = not isinstance(outcome, StreamEnded)
         upstream = placement.upstream
         if placement.copy is None or not isinstance(outcome, NotRun):
@@ -276,12 +288,15 @@
         upstream: Upstream,
         outcome: NotSent | NotRun,
     ) -> None:
-        """Take an upstream for lost whose address another one has."""
+        """Mark an upstream lost if another one has its address now."""
         if isinstance(outcome, NotRun) and outcome.status == MISDIRECTED:
             self._parts.directory.record_lost(upstream)
 
     def _give_up(self) -> None:
-        """End the answer so that it can't be taken for a whole one."""
+        """Send a refusal, or cut a response that has begun.
+
+        A cut response can't be mistaken for a complete one.
+        """
         if self._call.exchange.has_head:
             self._log_refusal(0, 'stream-cut')
             self._call.exchange.abort()
@@ -289,7 +304,11 @@
         if self._may_have_run:
             refusal = RelayRefusal(502, 'upstream-lost', self._last)
         elif self._limits.sent and self._limits.remaining_ms <= 0:
-            refusal = RelayRefusal(504, 'timeout', 'no event in time')
+            refusal = RelayRefusal(
+                504,
+                'timeout',
+                'no event arrived before the deadline',
+            )
         else:
             refusal = RelayRefusal(
                 503,
