--- a/bergamotthread/process/relay/__init__.py
+++ b/bergamotthread/process/relay/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions of an entry that talks to upstreams itself.
+"""Decisions of an entry that calls upstreams directly.
 
-Where a request goes, what may be sent again, which upstream is taken for lost
-and when the process drains. The modules here need no network.
+They cover the choice of an upstream, the retry budget, the detection of lost
+upstreams and the drain of the process. None of the decisions needs a network.
 """
--- a/bergamotthread/process/relay/choice.py
+++ b/bergamotthread/process/relay/choice.py
@@ -1,9 +1,10 @@
 """Choice of the upstream that runs an attempt.
 
-Engines are compared by the tokens that wait to be read and by the memory in
-use, plain upstreams by the requests in flight. Own dispatches count at once;
-reports of load are late and shared by all entries, so the choice is among a
-few candidates drawn at random.
+Engines are compared by the tokens that wait for prefill and by the KV cache in
+use, plain upstreams by the requests in flight. The process counts its own
+requests at once. Load reports are late and all entries see the same ones, so
+each choice is among a few candidates, drawn at random or by the prompt's
+affinity; this keeps all entries from choosing the same upstream.
 """
 
 from __future__ import annotations
@@ -18,49 +19,55 @@
     UpstreamDirectory,
 )
 
-# Prompt tokens that an engine reads in a millisecond (the sheets).
+# Prefill rate of an engine, from its data sheet.
 PREFILL_TOKENS_PER_MS = 8.0
-# Time that each running answer adds to the tokens of the others.
+# Delay that each running request adds to the tokens of the others.
 RUNNING_MS = 15.0
-# Cost of a full memory; grows with the square of the share in use.
+# Cost of a full KV cache; grows with the square of the fraction in use, and
+# linearly for a copy holder.
 MEMORY_FULL_MS = 2000.0
-# Extra cost of another region: a round trip and paid traffic.
+# Extra cost of another region, for the round trip and the paid traffic.
 FAR_MS = 60.0
-# Cost of an upstream all of whose recent answers failed.
+# Cost of an upstream all of whose recent requests failed.
 FAILURE_MS = 4000.0
-# Candidates that are asked for their load before one is chosen.
+# Upstreams that are asked for their load before one is chosen.
 CANDIDATES = 4
-# Most of them are of this region: traffic between regions is paid, and a loss
-# is noticed a round trip sooner.
+# Candidates from this region: traffic between regions is paid, and a loss in
+# this region is noticed a round trip sooner.
 NEAR_CANDIDATES = 3
-# Fewer upstreams in the region leave too little choice among queues.
+# With fewer upstreams in the region, the choice among queues is too small and
+# all regions are treated alike.
 NEAR_POOL_MIN = 6
-# Of each region, for a caller that comes back.
+# Candidates from each region for a caller that reconnects.
 RETURN_CANDIDATES = 3
-# Upstreams that are looked at to draw them, which bounds a choice among many.
+# Upstreams considered as candidates, which bounds the time of a choice.
 SEEN_MAX = 64
-# Cost of a candidate for each better one by affinity: a new prompt goes where
-# fewest tokens wait, unless the difference is small; one that comes back goes
-# where it was read, which saves a second of reading.
+# Cost of a candidate for each one that the affinity prefers to it. A new prompt
+# goes where the fewest tokens wait, unless the difference is small; the prompt
+# of a caller that reconnects goes where it is cached, which saves a second of
+# prefill.
 RANK_MS = 200.0
 RETURN_RANK_MS = 1500.0
-# Time that a request in flight at a plain upstream adds.
+# Expected delay by each request in flight at a plain upstream.
 PLAIN_REQUEST_MS = 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What an attempt asks of an upstream.
+    """What the choice of an upstream for an attempt depends on.
 
     Parameters
     ----------
     prompt_tokens
-        Tokens to read; 0 for plain services.
+        Tokens to prefill; 0 for plain services.
+    excluded
+        Instances that must not be chosen.
     affinity
-        What names the prompt; its cache is likely where the same affinity
-        led before, also from another entry.
+        Key of the prompt. All entries rank the upstreams for a key alike, so
+        the upstreams that it prefers are likely to cache the prompt.
     is_return
-        Whether the caller was served before, so that there is a cache.
+        Whether the caller reconnects, so that an upstream may cache its
+        prompt.
     """
 
     service: str
@@ -72,7 +79,7 @@
 
 @dataclass
 class UpstreamChoice:
-    """Chooses among the upstreams of a directory.
+    """Chooses among the upstreams of a directory by expected cost.
 
     Parameters
     ----------
@@ -88,63 +95,77 @@
     rng: random.Random = field(default_factory=random.Random)
 
     def choose(self, work: Work) -> Upstream | None:
-        """Return the cheapest upstream, or none."""
-        known = [
-            one
-            for one in self.directory.of_service(work.service)
-            if self._may_run(one, work)
+        """Return the cheapest upstream of all, or None if there is none."""
+        eligible = [
+            upstream
+            for upstream in self.directory.of_service(work.service)
+            if self._may_run(upstream, work)
         ]
-        sound = [one for one in known if not self.directory.is_doubtful(one)]
-        return self._cheapest(sound or known, work)
+        healthy = [
+            upstream
+            for upstream in eligible
+            if not self.directory.is_doubtful(upstream)
+        ]
+        return self._cheapest(healthy or eligible, work)
 
     def choose_elsewhere(self, work: Work, domain: str) -> Upstream | None:
-        """Return a cheap upstream outside a failure domain, or none."""
+        """Return a copy holder outside a failure domain, or None."""
         outside = (
-            one
-            for one in self._in_order(work)
-            if one.record.failure_domain != domain
+            upstream
+            for upstream in self._in_order(work)
+            if upstream.record.failure_domain != domain
         )
         return self.holder_among(list(islice(outside, CANDIDATES)))
 
     def holder_among(self, upstreams: Sequence[Upstream]) -> Upstream | None:
-        """Return which one should keep a copy, or none.
+        """Return the best holder of a copy, or None if there is none.
 
-        One that is full refuses what comes to go on from a copy, and after the
-        loss of an upstream all its runs come at once; so copies are spread by
-        room. What comes is admitted first, so a queue does not matter.
+        A full upstream refuses runs that resume from a copy, and after a loss
+        all runs of the lost upstream resume at once. Copies are therefore
+        placed by free KV cache. Queues do not count, because a resumed run is
+        admitted before queued requests.
         """
         return min(upstreams, key=self._holder_cost_ms, default=None)
 
     def draw(self, work: Work) -> list[Upstream]:
-        """Return a few candidates, of two failure domains if there are.
+        """Return a few candidates, from two failure domains if possible.
 
-        Those of this region come first, then those that the work's affinity
-        prefers. Upstreams in doubt are drawn only where there is no other.
-        For a caller that comes back, perhaps from another region, they are
-        the same wherever it does.
+        Upstreams of this region come first, then those that the affinity
+        prefers. Suspected upstreams are candidates only if there are no
+        others. For a caller that reconnects, every entry of every region
+        draws the same candidates.
         """
-        seen = list(islice(self._in_order(work), SEEN_MAX))
-        sound = [one for one in seen if not self.directory.is_doubtful(one)]
-        ordered = sound or seen
+        considered = list(islice(self._in_order(work), SEEN_MAX))
+        healthy = [
+            upstream
+            for upstream in considered
+            if not self.directory.is_doubtful(upstream)
+        ]
+        ordered = healthy or considered
         if work.is_return:
             return self._first_of_regions(ordered)
-        near = [one for one in ordered if not self._far_ms(one)]
-        if len(near) >= NEAR_POOL_MIN:
-            far = [one for one in ordered if self._far_ms(one)]
-            drawn = [*near[:NEAR_CANDIDATES], *far][:CANDIDATES]
+        local = [upstream for upstream in ordered if not self._far_ms(upstream)]
+        if len(local) >= NEAR_POOL_MIN:
+            remote = [
+                upstream for upstream in ordered if self._far_ms(upstream)
+            ]
+            candidates = [*local[:NEAR_CANDIDATES], *remote][:CANDIDATES]
         else:
-            drawn = ordered[:CANDIDATES]
-        return _with_second_domain(drawn, ordered)
+            candidates = ordered[:CANDIDATES]
+        return _with_second_domain(candidates, ordered)
 
     def rank_ms(self, rank: int, work: Work) -> float:
-        """Return the cost of leaving the candidates of a better rank."""
+        """Return the cost in ms of a candidate at a rank by affinity."""
         if not work.affinity:
             return 0
-        each_ms = RETURN_RANK_MS if work.is_return else RANK_MS
-        return rank * each_ms
+        per_rank_ms = RETURN_RANK_MS if work.is_return else RANK_MS
+        return rank * per_rank_ms
 
     def cost_ms(self, upstream: Upstream, work: Work) -> float:
-        """Return the expected wait, and the harm to others, in ms."""
+        """Return the expected wait plus the delay to other requests, in ms.
+
+        A random part below 1 ms breaks ties.
+        """
         if work.prompt_tokens:
             cost_ms = _engine_cost_ms(upstream, work)
         else:
@@ -153,8 +174,8 @@
         return cost_ms + self._far_ms(upstream) + self.rng.random()
 
     def _holder_cost_ms(self, upstream: Upstream) -> float:
-        share = _memory_share(upstream, upstream.held_tokens)
-        cost_ms = share * MEMORY_FULL_MS + self._far_ms(upstream)
+        kv_fraction = _memory_share(upstream, upstream.held_tokens)
+        cost_ms = kv_fraction * MEMORY_FULL_MS + self._far_ms(upstream)
         return cost_ms + self.rng.random()
 
     def _first_of_regions(self, ordered: list[Upstream]) -> list[Upstream]:
@@ -163,19 +184,19 @@
             region = self.region_by_domain.get(upstream.record.failure_domain)
             by_region.setdefault(region or '', []).append(upstream)
         return [
-            one
+            member
             for members in by_region.values()
-            for one in members[:RETURN_CANDIDATES]
+            for member in members[:RETURN_CANDIDATES]
         ]
 
     def _in_order(self, work: Work) -> Iterator[Upstream]:
-        """Yield what may run the work: by affinity, else at random."""
+        """Yield the eligible upstreams, by affinity or else at random."""
         directory = self.directory
         if work.affinity:
             ordered = directory.by_affinity(work.service, work.affinity)
         else:
-            there = list(directory.of_service(work.service))
-            ordered = iter(self.rng.sample(there, len(there)))
+            upstreams = list(directory.of_service(work.service))
+            ordered = iter(self.rng.sample(upstreams, len(upstreams)))
         for upstream in ordered:
             if self._may_run(upstream, work):
                 yield upstream
@@ -191,25 +212,27 @@
     ) -> Upstream | None:
         return min(
             upstreams,
-            key=lambda one: self.cost_ms(one, work),
+            key=lambda upstream: self.cost_ms(upstream, work),
             default=None,
         )
 
     def _far_ms(self, upstream: Upstream) -> float:
         region = self.region_by_domain.get(upstream.record.failure_domain)
-        is_near = region == self.region_by_domain.get(self.own_domain)
-        return 0 if is_near else FAR_MS
+        is_local = region == self.region_by_domain.get(self.own_domain)
+        return 0 if is_local else FAR_MS
 
 
 def _with_second_domain(
     drawn: list[Upstream],
     ordered: list[Upstream],
 ) -> list[Upstream]:
-    domains = {one.record.failure_domain for one in drawn}
+    domains = {upstream.record.failure_domain for upstream in drawn}
     if len(domains) != 1:
         return drawn
     others = (
-        one for one in ordered if one.record.failure_domain not in domains
+        upstream
+        for upstream in ordered
+        if upstream.record.failure_domain not in domains
     )
     last = next(others, drawn[-1])
     return [*drawn[:-1], last]
@@ -220,8 +243,8 @@
     unread = upstream.prefill_tokens
     running = upstream.in_flight
     if report is not None:
-        told = report.unread_tokens + upstream.sent_since_report
-        unread = max(unread, told)
+        reported = report.unread_tokens + upstream.sent_since_report
+        unread = max(unread, reported)
         running = max(running, report.running)
     waiting = unread + work.prompt_tokens
     cost_ms = waiting / PREFILL_TOKENS_PER_MS + running * RUNNING_MS
@@ -229,7 +252,7 @@
 
 
 def _memory_share(upstream: Upstream, more_tokens: int = 0) -> float:
-    """Return the share of its memory in use; 0 where nothing was reported."""
+    """Return the fraction of the KV cache in use; 0 without a load report."""
     report = upstream.report
     if report is None:
         return 0
--- a/bergamotthread/process/relay/decision_log.py
+++ b/bergamotthread/process/relay/decision_log.py
@@ -1,7 +1,7 @@
 """Structured log of decisions, one JSON line each, that never blocks.
 
-Lines go to standard output. What the reader of the pipe doesn't take waits in
-a bounded buffer; lines beyond it are dropped and counted.
+Lines are written to standard output. While the reader of the pipe is behind,
+they wait in a bounded buffer; lines beyond it are dropped and counted.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from bergamotthread.clock import Clock
 
-# Lines of one process that are kept while the reader is behind.
+# Lines that are buffered while the reader is behind.
 BUFFERED_LINES_MAX = 2000
-# Lines a second for which a process may write; above it they are sampled away.
+# Lines that a process may log in one second; further ones are dropped.
 LINES_PER_S = 300
 FLUSH_INTERVAL_MS = 50
 _MS_PER_S = 1000
@@ -33,7 +33,11 @@
     Parameters
     ----------
     host
-        Name of this host, in every line.
+        Name of this host, written in every line.
+    descriptor
+        File descriptor to write to, in non-blocking mode.
+    dropped
+        Lines dropped since the last line that reported the count.
     """
 
     clock: Clock
@@ -60,7 +64,7 @@
         self._flush_soon()
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
+        """Write as much as the reader accepts without blocking."""
         self._flush = None
         waiting = self._waiting or self._take_lines()
         try:
@@ -68,7 +72,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the log any more; there is nowhere to say so.
+            # The reader closed the pipe, so the error can't be reported.
             written = len(waiting)
         self._waiting = waiting[written:]
         if self._waiting or self._lines:
@@ -102,7 +106,7 @@
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # Before the loop runs, lines wait for the first flush in it.
+            # Without a running loop, lines wait for the first write in one.
             return
         self._flush = loop.call_later(
             FLUSH_INTERVAL_MS / _MS_PER_S,
--- a/bergamotthread/process/relay/feed_sources.py
+++ b/bergamotthread/process/relay/feed_sources.py
@@ -1,9 +1,10 @@
-"""From whom an entry hears of changes: the store, or an entry that reads it.
+"""Choice of the source of table changes: the store or another entry.
 
-One entry of each region, the first by name, asks the store; the others follow
-it and so take no calls. Every answer tells how old its proof is and whether it
-came from the store itself. Only such answers are followed, since two entries
-that follow each other would both know nothing new.
+In each region, the first entry by name reads the store and the others read
+from that entry, which keeps the load on the store low. Every response states
+the age of its data and whether it came from the store directly. Only direct
+responses are accepted: two entries that read from each other would never
+learn of a change.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 from bergamotthread.clock import Clock
 
-# An entry that did not answer, or with an old proof, is not asked for this
-# long.
+# Time for which an entry is not asked after it failed to respond or sent data
+# that was too old.
 FAILED_MS = 8000
-# After a failed call to the store others are asked for this long.
+# Time after a failed call to the store for which other entries are preferred.
 STORE_FAILED_MS = 1000
 
 
@@ -27,7 +28,7 @@
     Parameters
     ----------
     address
-        Where it answers other entries.
+        Address at which it serves other entries.
     """
 
     host: str
@@ -37,7 +38,7 @@
 
 @dataclass
 class FeedSources:
-    """Chooses the source of the next read.
+    """Chooses the source of the next read of a table.
 
     Parameters
     ----------
@@ -56,24 +57,24 @@
         return len(self._entry_by_host)
 
     def update(self, record: EntryRecord) -> None:
-        """Take in the registration of an entry."""
+        """Add or replace an entry."""
         self._entry_by_host[record.host] = record
         self._failed_ms_by_host.pop(record.host, None)
 
     def remove(self, host: str) -> None:
-        """Forget an entry."""
+        """Remove an entry."""
         self._entry_by_host.pop(host, None)
 
     def choose(self, table: str) -> EntryRecord | None:
-        """Return the entry to follow, or none for the store itself."""
+        """Return the entry to read from, or None for the store."""
         ranked = sorted(self._usable(), key=_host)
         if self._is_store_failing(table):
             return next(iter(ranked), None)
-        earlier = [one for one in ranked if one.host < self.own_host]
+        earlier = [entry for entry in ranked if entry.host < self.own_host]
         return next(iter(earlier), None)
 
     def record_failure(self, table: str, source: EntryRecord | None) -> None:
-        """Note that a source did not answer, or can't be followed."""
+        """Record that a source did not respond or sent unusable data."""
         now_ms = self.clock.now_ms()
         if source is None:
             self._store_failed_ms_by_table[table] = now_ms
@@ -81,7 +82,7 @@
             self._failed_ms_by_host[source.host] = now_ms
 
     def record_success(self, table: str, source: EntryRecord | None) -> None:
-        """Note that a source answered."""
+        """Record that a source responded."""
         if source is None:
             self._store_failed_ms_by_table.pop(table, None)
 
@@ -94,10 +95,10 @@
     def _usable(self) -> Iterable[EntryRecord]:
         now_ms = self.clock.now_ms()
         for entry in self._entry_by_host.values():
-            is_near = entry.region == self.own_region
+            is_local = entry.region == self.own_region
             failed_ms = self._failed_ms_by_host.get(entry.host, -FAILED_MS)
-            is_sound = now_ms - failed_ms >= FAILED_MS
-            if is_near and is_sound and entry.host != self.own_host:
+            is_healthy = now_ms - failed_ms >= FAILED_MS
+            if is_local and is_healthy and entry.host != self.own_host:
                 yield entry
 
 
--- a/bergamotthread/process/relay/freshness.py
+++ b/bergamotthread/process/relay/freshness.py
@@ -1,7 +1,7 @@
-"""Age of what a process knows of the published version.
+"""Age of the last confirmation that the known version is current.
 
-Time counts while the machine is suspended, so that a machine that wakes up
-does not take old permission for fresh.
+The clock includes time in which the machine is suspended, so that keys that
+were revoked meanwhile are not accepted after it resumes.
 """
 
 from __future__ import annotations
@@ -11,21 +11,23 @@
 
 from bergamotthread.clock import Clock
 
-# Part of the bound that is left to the way from the check to the upstream.
+# Part of the bound that is reserved for the time from the check of a key to the
+# arrival of the request at the upstream.
 DISPATCH_MARGIN_MS = 300
-# Part of the bound after which the balancer is told to send callers elsewhere.
+# Fraction of the bound after which the entry reports to the balancer that it is
+# not ready.
 READY_SHARE = 0.7
 
 
 @dataclass
 class VersionFreshness:
-    """When the store last confirmed the version in force.
+    """Tracks when the store last confirmed the current version.
 
     Parameters
     ----------
     revoke_bound_ms
-        Time within which a removed key is refused everywhere; none if
-        machines out of touch may go on.
+        Time within which a removed key must be refused everywhere; None if
+        entries that can't reach the store may go on serving.
     """
 
     clock: Clock
@@ -33,28 +35,28 @@
     _confirmed_ms: float = -math.inf
 
     def now_ms(self) -> float:
-        """Return the time to give to `confirm` for a question asked now."""
+        """Return the time to pass to `confirm` for a request sent now."""
         return self.clock.boot_ms()
 
     def confirm(self, asked_ms: float) -> None:
-        """Note an answer to a question that was asked at `asked_ms`."""
+        """Record a confirmation that was requested at `asked_ms`."""
         self._confirmed_ms = max(self._confirmed_ms, asked_ms)
 
     @property
     def age_ms(self) -> float:
-        """Return how old the confirmation is; infinite if there is none."""
+        """Return the age of the last confirmation; infinite without one."""
         return self.clock.boot_ms() - self._confirmed_ms
 
     @property
     def admits_keys(self) -> bool:
-        """Return whether keys can be trusted not to have been removed."""
+        """Return whether keys are known not to have been removed."""
         if self.revoke_bound_ms is None:
             return True
         return self.age_ms < self.revoke_bound_ms - DISPATCH_MARGIN_MS
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new callers are better served here than elsewhere."""
+        """Return whether the balancer should send new callers here."""
         if self.revoke_bound_ms is None:
             return True
         return self.age_ms < self.revoke_bound_ms * READY_SHARE
--- a/bergamotthread/process/relay/hash_ring.py
+++ b/bergamotthread/process/relay/hash_ring.py
@@ -1,4 +1,4 @@
-"""Consistent hashing: the same key leads every entry to the same members."""
+"""Consistent hashing, by which all entries map a key to the same members."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import xxhash
 
-# Points of each member; more make shares more equal and changes slower.
+# More points balance the members better and make changes of the ring slower.
 POINTS = 16
 
 
 class HashRing:
-    """Members in the order in which a key prefers them (Karger 1997)."""
+    """Consistent hash ring (Karger 1997) that ranks its members for a key."""
 
     def __init__(self, members: Iterable[str]) -> None:
         self._points = sorted(
@@ -21,21 +21,21 @@
         )
 
     def add(self, member: str) -> None:
-        """Take in a member that is not there."""
+        """Add a member that is not in the ring."""
         for point in _points(member):
             bisect.insort(self._points, point)
 
     def remove(self, member: str) -> None:
-        """Take out a member that is there."""
+        """Remove a member of the ring."""
         for point in _points(member):
             self._points.pop(bisect.bisect_left(self._points, point))
 
     def walk(self, key: bytes) -> Iterator[str]:
-        """Yield all members, each once, beginning at the key's place."""
+        """Yield each member once, clockwise from the position of the key."""
         start = bisect.bisect(self._points, (_place(key), ''))
-        around = chain(range(start, len(self._points)), range(start))
+        indexes = chain(range(start, len(self._points)), range(start))
         seen: set[str] = set()
-        for index in around:
+        for index in indexes:
             member = self._points[index][1]
             if member not in seen:
                 seen.add(member)
--- a/bergamotthread/process/relay/life_cycle.py
+++ b/bergamotthread/process/relay/life_cycle.py
@@ -12,23 +12,24 @@
 READY = 'ready'
 DRAINING = 'draining'
 
-# The balancer asks once a second and takes an entry out after two misses.
+# Time until the balancer sends no new connections: it checks once a second and
+# removes an entry after two failed checks.
 ROTATION_MS = 2600
 # Streams that begin later than this after the request to stop would not end
-# within the time to the kill.
+# before the process is killed.
 LATE_STREAM_MS = 1500
-# Time before the kill at which the process ends whatever still runs.
+# Time before the kill at which the process ends the requests still in flight.
 KILL_MARGIN_MS = 350
 
 
 @dataclass
 class LifeCycle:
-    """Decides what a process does with new work.
+    """Tracks whether a process accepts new connections and streams.
 
     Parameters
     ----------
     grace_ms
-        Time between the request to stop and the kill.
+        Time from the request to stop until the process is killed.
     """
 
     clock: Clock
@@ -49,16 +50,16 @@
 
     @property
     def state(self) -> str:
-        """Return the state's name."""
+        """Return the name of the state."""
         return str(self._machine.state)
 
     def version_known(self) -> None:
-        """Become ready once a version is in force."""
+        """Become ready, because a version has been loaded."""
         if self.state == STARTING:
             self._machine.trigger('become')
 
     def stop(self) -> None:
-        """Start the drain; further requests to stop change nothing."""
+        """Start to drain; repeated requests to stop have no effect."""
         if self.state != DRAINING:
             self._stop_ms = self.clock.now_ms()
             self._machine.trigger('drain')
@@ -70,7 +71,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Return whether the process is about to end."""
+        """Return whether a request to stop was received."""
         return self.state == DRAINING
 
     @property
@@ -82,15 +83,15 @@
 
     @property
     def refuses_streams(self) -> bool:
-        """Return whether a new stream could not end before the kill."""
+        """Return whether a new stream would not end before the kill."""
         return self.draining_ms > LATE_STREAM_MS
 
     @property
     def is_out_of_rotation(self) -> bool:
-        """Return whether the balancer has noticed the drain."""
+        """Return whether the balancer has stopped sending connections."""
         return self.draining_ms > ROTATION_MS
 
     @property
     def must_end(self) -> bool:
-        """Return whether the kill is about to come."""
+        """Return whether the process must end now to exit before the kill."""
         return self.draining_ms > self.grace_ms - KILL_MARGIN_MS
--- a/bergamotthread/process/relay/liveness.py
+++ b/bergamotthread/process/relay/liveness.py
@@ -1,7 +1,7 @@
-"""Which upstreams are lost, told from slow ones by a probe.
+"""Detection of lost upstreams by probes, which tell them from slow ones.
 
-An upstream from which nothing arrives is asked for its load report. One probe
-serves all requests that wait for the same upstream.
+A silent upstream is asked for its load report. Requests that wait for the same
+upstream share one probe.
 """
 
 from __future__ import annotations
@@ -17,17 +17,16 @@
     UpstreamDirectory,
 )
 
-# Silence in the middle of a stream after which its upstream is probed: several
-# times the usual gap between events (40 ms), so that a resume still fits into
-# the longest pause that is on time (700 ms).
+# Silence within a stream after which its upstream is probed. It is several
+# times the usual gap between events (40 ms), and short enough for the stream to
+# resume elsewhere within the longest allowed pause (700 ms).
 SILENCE_MS = 120
-# The same while a prompt is read, where a little more does no harm.
+# The same during prefill, where a later detection does no harm.
 READING_SILENCE_MS = 200
-# Time for the answer to a probe: a connection and a round trip between regions
-# take 120 ms.
+# Opening a connection and one round trip between regions take 120 ms.
 PROBE_TIMEOUT_MS = 190
 
-# A report younger than this is used again for another choice.
+# Age up to which a load report is reused without a new probe.
 REPORT_FRESH_MS = 150
 
 Probe = Callable[[Upstream], Awaitable[LoadReport | None]]
@@ -35,7 +34,15 @@
 
 @dataclass
 class LivenessWatch:
-    """Probes silent upstreams and suspects those that do not answer."""
+    """Probes silent upstreams and marks those lost that do not respond.
+
+    Parameters
+    ----------
+    probe
+        Fetches the load report of an upstream; returns None on failure.
+    probes
+        Number of probes sent.
+    """
 
     clock: Clock
     directory: UpstreamDirectory
@@ -49,13 +56,19 @@
         upstream: Upstream,
         silence_ms: float = SILENCE_MS,
     ) -> bool:
-        """Return whether an upstream was heard of lately or answers now."""
+        """Return whether an upstream sent bytes recently or answers a probe."""
         if self.clock.now_ms() - upstream.heard_ms < silence_ms:
             return True
         return await self.verify(upstream)
 
     async def verify(self, upstream: Upstream) -> bool:
-        """Return whether an upstream answers a probe."""
+        """Probe an upstream, or wait for the probe under way.
+
+        Returns
+        -------
+        bool
+            Whether the upstream is alive.
+        """
         instance = upstream.record.instance
         task = self._running.get(instance)
         if task is None:
@@ -65,9 +78,14 @@
         return await asyncio.shield(task)
 
     async def refresh(self, upstream: Upstream) -> bool:
-        """Return whether an upstream lives, with a report of late.
+        """Probe an upstream unless its load report is recent.
+
+        An upstream that does not answer the probe is marked lost.
 
-        Raises nothing; an upstream that does not answer is taken for lost.
+        Returns
+        -------
+        bool
+            Whether the upstream is alive.
         """
         report = upstream.report
         now_ms = self.clock.now_ms()
@@ -76,7 +94,7 @@
         return await self.verify(upstream)
 
     def verify_soon(self, upstream: Upstream) -> None:
-        """Probe an upstream whose connection broke, without waiting."""
+        """Start a probe of an upstream and return at once."""
         task = asyncio.create_task(self.verify(upstream))
         self._waiting.add(task)
         task.add_done_callback(self._waiting.discard)
--- a/bergamotthread/process/relay/relay_metrics.py
+++ b/bergamotthread/process/relay/relay_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of an entry that talks to upstreams itself."""
+"""Counters and latencies of an entry that calls upstreams directly."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
 @dataclass(frozen=True)
 class RelayMetrics:
-    """What the relays count; `registry` shows it.
+    """Metrics of relayed requests; `registry` exposes them.
 
     Parameters
     ----------
     answers
-        Answers of upstreams to callers, by status.
+        Responses of upstreams that were sent to callers, by status.
     refusals
-        Answers of the entry's own, by reason.
+        Requests that the entry refused itself, by reason.
     attempts
         Attempts, by outcome.
     answer_ms
-        Time to a whole answer.
+        Time to the complete response; streams are not counted.
     first_event_ms, pause_ms
-        Of streams: time to the first event, longest pause between events.
+        Time to the first event of a stream and longest pause between its
+        events.
     """
 
     registry: Metrics
@@ -40,7 +41,7 @@
 
     @classmethod
     def from_clock(cls, clock: Clock) -> RelayMetrics:
-        """Return metrics without any count."""
+        """Return metrics that have counted nothing yet."""
         registry = Metrics(clock)
         return cls(
             registry,
--- a/bergamotthread/process/relay/repeat_budget.py
+++ b/bergamotthread/process/relay/repeat_budget.py
@@ -1,8 +1,8 @@
-"""Budget of repeats of one service, kept by each entry without a coordinator.
+"""Retry budget of each service, kept by every entry without coordination.
 
-The bound holds for the sum over all entries in any window: a ratio of the
-first attempts, which each entry keeps for its own, and a slack, of which each
-entry takes an equal part.
+In any window, the retries of all entries together stay within a ratio of their
+first attempts plus a slack. Each entry applies the ratio to its own first
+attempts and uses an equal part of the slack.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class RepeatLimits:
-    """Bound on the repeats of a service.
+    """Bound on the retries of a service.
 
     Parameters
     ----------
     ratio
-        Repeats for each first attempt.
+        Retries allowed for each first attempt.
     window_ms
         Length of the sliding window.
     slack
-        Repeats in a window beyond the ratio, summed over all entries.
+        Retries allowed in a window beyond the ratio, for all entries together.
     """
 
     ratio: float
@@ -41,12 +41,12 @@
 
 @dataclass
 class RepeatBudget:
-    """Counts first attempts and repeats by service.
+    """Counts first attempts and retries by service.
 
     Parameters
     ----------
     entries
-        Tells how many entries share the slack.
+        Returns the number of entries that share the slack.
     """
 
     clock: Clock
@@ -59,7 +59,7 @@
         self._recent(service).first_ms.append(self.clock.now_ms())
 
     def spend(self, service: str) -> bool:
-        """Return whether a repeat is allowed, and count it if so."""
+        """Count a retry if it is allowed; return whether it is."""
         usage = self._recent(service)
         slack = self.limits.slack / max(self.entries(), 1)
         allowed = self.limits.ratio * len(usage.first_ms) + slack
--- a/bergamotthread/process/relay/servers.py
+++ b/bergamotthread/process/relay/servers.py
@@ -1,4 +1,4 @@
-"""Servers of an entry: callers, the balancer's check, metrics."""
+"""Servers of an entry for callers, health checks and metrics."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 LISTEN_BACKLOG = 1024
 DRAIN_RETRY_AFTER_MS = 100
-# A process that has just started reads the version within half a second.
+# Wait for the first version; a new process loads it within half a second.
 START_WAIT_MS = 600
 
 
 @dataclass
 class RelayServer:
-    """Answers callers by relaying their requests to upstreams."""
+    """Serves callers by relaying their requests to upstreams."""
 
     clock: Clock
     holder: RouteTableHolder
@@ -43,17 +43,17 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the limits of the version in force."""
+        """Return the limits of the current version."""
         table = self.holder.table
         return CallerLimits() if table is None else table.limits
 
     @property
     def is_draining(self) -> bool:
-        """Return whether kept connections are to be closed."""
+        """Return whether keep-alive connections must be closed."""
         return self.life_cycle.is_draining
 
     async def answer(self, exchange: Exchange) -> None:
-        """Answer one request of a caller."""
+        """Respond to one request of a caller."""
         if self.holder.table is None:
             await self.holder.wait_known(self.clock, START_WAIT_MS)
         admitted = self.admission.admit(exchange, self.holder.table)
@@ -91,7 +91,13 @@
 
 @dataclass
 class StatusServer:
-    """Answers GET requests for a few paths with a status and a text."""
+    """Serves a status code and a text at each of a few paths.
+
+    Parameters
+    ----------
+    answer_by_path
+        Returns the status code and the text of each path.
+    """
 
     clock: Clock
     answer_by_path: dict[bytes, Tell]
@@ -100,13 +106,13 @@
     is_draining: bool = False
 
     async def answer(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Respond to one request."""
         path = exchange.request.target.partition(b'?')[0]
-        tell = self.answer_by_path.get(path)
-        if tell is None:
+        get_status = self.answer_by_path.get(path)
+        if get_status is None:
             exchange.respond(404, ())
             return
-        status, text = tell()
+        status, text = get_status()
         exchange.respond(status, (), text.encode())
 
 
@@ -114,7 +120,7 @@
     server: CallerServer,
     address: str,
 ) -> asyncio.Server:
-    """Accept connections of an address for a server."""
+    """Accept connections at an address ``HOST:PORT`` for a server."""
     host, _, port = address.rpartition(':')
     return await asyncio.get_running_loop().create_server(
         lambda: CallerConnection(server),
@@ -134,6 +140,6 @@
     return RelayRefusal(
         503,
         'draining',
-        'this entry is about to stop',
+        'this entry is stopping and accepts no new streams',
         DRAIN_RETRY_AFTER_MS,
     )
--- a/bergamotthread/process/relay/upstreams.py
+++ b/bergamotthread/process/relay/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of the services: who is there, how busy, who is suspect."""
+"""Directory of the upstreams of all services, with their load and health."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 from bergamotthread.clock import Clock
 from bergamotthread.process.relay.hash_ring import HashRing
 
-# A lost upstream is tried again after this time if nothing was heard of it; a
-# row of one that has ended lapses within three intervals of 1.2 s.
+# Time after which a lost upstream is tried again even if it stayed silent. The
+# store row of an upstream that has ended expires within three intervals of
+# 1.2 s, so by then only live upstreams are listed.
 LOST_MS = 4000
-# So many losses in one failure domain within `DOMAIN_LOSS_MS` put the others
-# of the domain in doubt until they are heard of.
+# With this many losses in one failure domain within `DOMAIN_LOSS_MS`, the other
+# upstreams of the domain are suspected until they send something.
 DOMAIN_LOSSES = 2
 DOMAIN_LOSS_MS = 1500
-# Weight of the newest outcome in the share of failures.
+# Weight of the newest outcome in the average of failures.
 _OUTCOME_WEIGHT = 0.25
-# Failures decay with this half-life, so that an upstream is tried again.
+# Failures decay with this half-life, so that a failing upstream is tried again.
 FAILURE_HALF_LIFE_MS = 4000
 
 
 class UpstreamState(enum.Enum):
-    """What an upstream says of itself."""
+    """State that an upstream registers in the store."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -37,7 +38,7 @@
     Parameters
     ----------
     instance
-        Identifier of this incarnation.
+        Identifier of this incarnation of the upstream.
     born_ms
         Calendar time of its start; 0 if unknown.
     """
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load of an upstream as it reported it.
+    """Load that an upstream reported.
 
     Parameters
     ----------
     kv_used, kv_total
-        Tokens of memory that cannot yield, and of all memory.
+        Tokens of the KV cache that can't be evicted, and its capacity.
     unread_tokens
-        Prompt tokens that it has accepted and not read yet.
+        Accepted prompt tokens that wait for prefill.
     at_ms
         Monotonic time at which the report arrived.
     """
@@ -75,20 +76,21 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """Known upstream with what this process saw of it.
+    """Listed upstream with what this process observed of it.
 
     Parameters
     ----------
     prefill_tokens
-        Prompt tokens of own attempts without an event yet.
+        Prompt tokens of this process's attempts that have no event yet.
     sent_since_report
-        Prompt tokens of own attempts since the last report.
+        Prompt tokens of attempts that this process sent since the report.
     held_tokens
-        Tokens of own streams whose copies are kept there.
+        Tokens of this process's streams whose copies the upstream holds.
     is_unlisted
-        Whether its row went with an outage of the store, and may come back.
+        Whether its row disappeared in an outage of the store and may return.
     listed_ms, heard_ms, lost_ms
-        Monotonic times of its first row, of its last bytes and of its loss.
+        Monotonic times at which it was first listed, last sent bytes and was
+        marked lost; 0 if it was not.
     """
 
     record: UpstreamRecord
@@ -106,7 +108,7 @@
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address at which it listens."""
         return self.record.address
 
 
@@ -124,29 +126,32 @@
         return len(self._upstream_by_instance)
 
     def get(self, instance: str) -> Upstream | None:
-        """Return one upstream, or none if it has gone."""
+        """Return one upstream, or None if it is not listed."""
         return self._upstream_by_instance.get(instance)
 
     def update(self, record: UpstreamRecord) -> Upstream | None:
-        """Take in a record; return the incarnation that it replaces."""
-        known = self._upstream_by_instance.get(record.instance)
-        if known is not None and _is_same(known.record, record):
-            known.record = record
-            known.is_unlisted = False
+        """Add or update an upstream; return the one that it replaces.
+
+        A record of an older incarnation at a known address is ignored.
+        """
+        listed = self._upstream_by_instance.get(record.instance)
+        if listed is not None and _is_same(listed.record, record):
+            listed.record = record
+            listed.is_unlisted = False
             return None
-        former = known or self._former(record)
-        if former is not None:
-            if former.record.born_ms > record.born_ms:
+        replaced = listed or self._former(record)
+        if replaced is not None:
+            if replaced.record.born_ms > record.born_ms:
                 return None
-            self.remove(former.record.instance)
+            self.remove(replaced.record.instance)
         upstream = Upstream(record, listed_ms=self.clock.now_ms())
         self._upstream_by_instance[record.instance] = upstream
         self._instance_by_address[record.address] = record.instance
         self._ring(record.service).add(record.address)
-        return former
+        return replaced
 
     def remove(self, instance: str) -> Upstream | None:
-        """Forget an upstream that has gone."""
+        """Remove an upstream and return it, or None if it is not listed."""
         upstream = self._upstream_by_instance.pop(instance, None)
         if upstream is not None:
             address = upstream.address
@@ -155,25 +160,25 @@
         return upstream
 
     def record_unlisted(self, instance: str) -> None:
-        """Use an upstream only where there is no other."""
+        """Suspect an upstream whose row disappeared in an outage."""
         upstream = self._upstream_by_instance.get(instance)
         if upstream is not None:
             upstream.is_unlisted = True
 
     def instances(self) -> frozenset[str]:
-        """Return the identifiers of all known upstreams."""
+        """Return the identifiers of all listed upstreams."""
         return frozenset(self._upstream_by_instance)
 
     def of_service(self, service: str) -> Iterator[Upstream]:
-        """Yield the upstreams of one service that take new work."""
+        """Yield the upstreams of one service that accept new requests."""
         for upstream in self._upstream_by_instance.values():
             if _takes_work(upstream, service):
                 yield upstream
 
     def by_affinity(self, service: str, key: bytes) -> Iterator[Upstream]:
-        """Yield a service's upstreams in the order that a key prefers.
+        """Yield a service's upstreams in the order preferred by a key.
 
-        The order is by address, so that it outlives restarts.
+        The order depends on addresses only, so restarts do not change it.
         """
         for address in self._ring(service).walk(key):
             instance = self._instance_by_address.get(address, '')
@@ -182,7 +187,7 @@
                 yield upstream
 
     def record_lost(self, upstream: Upstream) -> None:
-        """Leave an upstream alone until it gives a sign of life."""
+        """Mark an upstream lost until it sends something or time passes."""
         now_ms = self.clock.now_ms()
         domain = upstream.record.failure_domain
         losses = self._losses_by_domain.setdefault(domain, deque())
@@ -193,19 +198,19 @@
         upstream.lost_ms = now_ms
 
     def record_heard(self, upstream: Upstream) -> None:
-        """Note that bytes came from an upstream."""
+        """Record that an upstream sent something."""
         upstream.heard_ms = self.clock.now_ms()
         upstream.lost_ms = 0
 
     def record_outcome(self, upstream: Upstream, *, failed: bool) -> None:
-        """Count an answer in the share of failures."""
+        """Add an outcome to the average of failures."""
         share = self.failure_share(upstream)
         share += _OUTCOME_WEIGHT * (float(failed) - share)
         upstream.failure_share = share
         upstream.failed_ms = self.clock.now_ms()
 
     def failure_share(self, upstream: Upstream) -> float:
-        """Return the recent share of failures, which decays with time."""
+        """Return the average of recent failures, which decays with time."""
         if not upstream.failure_share:
             return 0
         age_ms = self.clock.now_ms() - upstream.failed_ms
@@ -213,13 +218,17 @@
         return upstream.failure_share * decayed
 
     def is_lost(self, upstream: Upstream) -> bool:
-        """Return whether an upstream was lost and gave no sign since."""
+        """Return whether an upstream is marked lost and not tried again yet."""
         if not upstream.lost_ms:
             return False
         return self.clock.now_ms() - upstream.lost_ms < LOST_MS
 
     def is_doubtful(self, upstream: Upstream) -> bool:
-        """Return whether an upstream may be gone, or lost with its domain."""
+        """Return whether an upstream may have ended or be lost.
+
+        It is suspected while its row is missing, or from several losses in its
+        failure domain until it sends something.
+        """
         if upstream.is_unlisted:
             return True
         losses = self._losses_by_domain.get(upstream.record.failure_domain)
--- a/bergamotthread/process/relay/version_holder.py
+++ b/bergamotthread/process/relay/version_holder.py
@@ -1,4 +1,4 @@
-"""The version in force in this process; it never goes back."""
+"""Current version of the route table, which never moves backwards."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     _known: asyncio.Event = field(default_factory=asyncio.Event)
 
     def offer(self, table: RouteTable) -> bool:
-        """Take a table into force if it is newer; return whether it was."""
+        """Replace the table if `table` is newer; return whether it was."""
         if self.table is not None and table.version <= self.table.version:
             return False
         self.table = table
@@ -27,9 +27,11 @@
         return True
 
     async def wait_known(self, clock: Clock, timeout_ms: float) -> None:
-        """Wait for the first table, at most for a time."""
+        """Wait for the first table, at most for `timeout_ms`."""
         try:
             async with clock.timeout_ms(timeout_ms):
                 await self._known.wait()
         except TimeoutError:
-            logging.debug('no version within %.0f ms', timeout_ms)
+            logging.debug(
+                'no route table was loaded within %.0f ms', timeout_ms
+            )
