--- a/bergamotthread/platform/__init__.py
+++ b/bergamotthread/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translation between the users' platform and the product.
+"""Adapters between the users' platform and the rest of the package.
 
-Only the modules here know the platform's words, field names and calls.
+Only these modules use the platform's terms, field names and calls.
 """
--- a/bergamotthread/platform/__main__.py
+++ b/bergamotthread/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Run an entry on the users' platform, with the settings they place."""
+"""Run an entry on the users' platform, configured by its settings file."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 
 
 def main() -> int:
-    """Run the process until it is stopped; return its exit code."""
+    """Run the entry until it is stopped; return the exit code."""
+    # The decision log drops lines rather than wait for a slow reader.
     os.set_blocking(sys.stdout.fileno(), False)
     try:
         settings = load_settings()
--- a/bergamotthread/platform/checks.py
+++ b/bergamotthread/platform/checks.py
@@ -1,4 +1,4 @@
-"""Offline checks of what the platform gives a process."""
+"""Offline checks of the settings file and of the manifest."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 
 
 class PlatformCheckError(BergamotError):
-    """A file has faults; the message has a line for each."""
+    """A checked file is invalid; the message has one line for each fault."""
 
 
 def check_settings_file(path: Path) -> str:
-    """Return a line about a valid settings file.
+    """Check a settings file; return a one-line summary of it.
 
     Raises
     ------
     PlatformSettingsError
-        If it can't be used.
+        If the file can't be read or decoded.
     """
     settings = PlatformSettings.from_file(path)
     return f'host {settings.host} in {settings.failure_domain}'
 
 
 def check_manifest_file(path: Path) -> str:
-    """Return a line about a valid manifest.
+    """Check a manifest; return a one-line summary of it.
 
     Raises
     ------
     PlatformCheckError
-        If it can't be read, or routes refer to what is not there.
+        If the file can't be read or decoded, or if a route names an unknown
+        service, has a malformed prefix or repeats another route.
     """
     try:
         table = decode_manifest(path.read_bytes())
@@ -48,19 +49,25 @@
 
 
 def _faults(table: RouteTable) -> Iterator[str]:
-    known = sorted(table.service_by_name)
-    seen: set[tuple[bytes, bytes]] = set()
+    known_services = sorted(table.service_by_name)
+    seen_prefixes: set[tuple[bytes, bytes]] = set()
     for number, route in enumerate(table.routes):
-        place = f'$.routes[{number}]'
-        for one in route.services:
-            if one.service not in table.service_by_name:
-                yield f'{place}: service {one.service!r}, expected {known}'
+        location = f'$.routes[{number}]'
+        for weighted in route.services:
+            if weighted.service not in table.service_by_name:
+                yield (
+                    f'{location}: service {weighted.service!r}, '
+                    f'expected {known_services}'
+                )
         prefix = route.path_prefix.decode()
         if not (prefix.startswith('/') and prefix.endswith('/')):
-            yield f'{place}.path_prefix: {prefix!r}, expected slashes around'
-        if (route.host, route.path_prefix) in seen:
-            yield f'{place}: host and prefix {prefix!r} stand there twice'
-        seen.add((route.host, route.path_prefix))
+            yield (
+                f'{location}.path_prefix: {prefix!r}, expected a slash at the '
+                'start and at the end'
+            )
+        if (route.host, route.path_prefix) in seen_prefixes:
+            yield f'{location}: host and prefix {prefix!r} stand there twice'
+        seen_prefixes.add((route.host, route.path_prefix))
 
 
 def _fault(path: Path, faults: tuple[str, ...]) -> PlatformCheckError:
--- a/bergamotthread/platform/entry.py
+++ b/bergamotthread/platform/entry.py
@@ -1,4 +1,4 @@
-"""Entry on the users' platform: composition of the process."""
+"""Entry process on the users' platform, built from its components."""
 
 from __future__ import annotations
 
@@ -54,10 +54,11 @@
 READY_PATH = b'/api/ready'
 METRICS_PATH = b'/metrics'
 HOUSEKEEPING_MS = 200
-# Fewest entries that are taken to share the slack of the repeat budget; those
-# that have not registered yet are among them.
+# The slack of the retry budget is divided by at least this many entries, which
+# allows for entries that have not registered yet.
 ENTRIES_MIN = 8
-# Part of the bound on repeats that entries use, since their windows differ.
+# Fraction of the bound on retries that the entries use. The rest covers the
+# differences between their sliding windows, which are not aligned.
 BUDGET_SHARE = 0.75
 
 
@@ -72,7 +73,7 @@
 
 
 class PlatformEntry:
-    """All that an entry process consists of."""
+    """One entry process: servers, watches on the store, and shared state."""
 
     def __init__(
         self,
@@ -109,19 +110,19 @@
         self._add_gauges()
 
     def handle_signals(self) -> None:
-        """Drain on SIGTERM, read the settings again on SIGHUP."""
+        """Start the drain on SIGTERM and reload the settings on SIGHUP."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     async def run(self) -> None:
-        """Serve until asked to stop and drained."""
+        """Serve until the process is asked to stop and has drained."""
         self._log.write('start', domain=self._settings.failure_domain)
         await self._listen()
         watches = self._watches
         tasks = [
-            asyncio.create_task(work)
-            for work in (
+            asyncio.create_task(coroutine)
+            for coroutine in (
                 watches.version.run(),
                 watches.runners.run(),
                 watches.entries.run(),
@@ -144,7 +145,10 @@
         self._log.write('drain', in_flight=self._server.in_flight)
 
     def reload(self) -> None:
-        """Check the settings file again; what listens stays as it is."""
+        """Read the settings file again and log whether it changed.
+
+        The process goes on with the settings it started with.
+        """
         try:
             settings = load_settings()
         except PlatformSettingsError as error:
@@ -165,14 +169,14 @@
 
     async def _listen(self) -> None:
         settings = self._settings
-        status = StatusServer(
+        status_server = StatusServer(
             self._clock,
             {READY_PATH: self._ready, METRICS_PATH: self._metrics},
         )
         await listen(self._server, settings.front)
-        await listen(status, settings.ready)
-        await listen(status, f'{settings.ip}:{settings.metrics_port}')
-        peers = RelayedFeedServer(
+        await listen(status_server, settings.ready)
+        await listen(status_server, f'{settings.ip}:{settings.metrics_port}')
+        feed_server = RelayedFeedServer(
             self._clock,
             {
                 watch.table: watch.history
@@ -183,7 +187,7 @@
                 )
             },
         )
-        await listen(peers, f'{settings.ip}:{settings.peer_port}')
+        await listen(feed_server, f'{settings.ip}:{settings.peer_port}')
 
     def _ready(self) -> tuple[int, str]:
         is_ready = self._life_cycle.is_ready and self._freshness.is_ready
@@ -231,8 +235,8 @@
                 lambda: self._log.dropped,
             ),
         )
-        for name, description, read in gauges:
-            registry.gauge(name, description, read)
+        for name, description, read_gauge in gauges:
+            registry.gauge(name, description, read_gauge)
 
     def _entries(self) -> int:
         return max(len(self._feeds), ENTRIES_MIN)
@@ -275,7 +279,7 @@
             self._log,
         )
         settings = self._settings
-        own = EntryRecord(
+        own_record = EntryRecord(
             settings.host,
             f'{settings.ip}:{settings.peer_port}',
             settings.region,
@@ -288,17 +292,17 @@
                 self._life_cycle,
             ),
             RunnerWatch(sources, self._directory, self._pool),
-            EntryWatch(sources, own),
+            EntryWatch(sources, own_record),
         )
 
 
 def load_settings() -> PlatformSettings:
-    """Read the settings file that the environment names.
+    """Read the settings file named by the environment variable.
 
     Raises
     ------
     PlatformSettingsError
-        If it can't be used.
+        If the file can't be read or decoded.
     """
     return PlatformSettings.from_file(
         Path(os.environ.get(SETTINGS_VARIABLE, '')),
--- a/bergamotthread/platform/headers.py
+++ b/bergamotthread/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's names of header fields."""
+"""Header field names of the platform."""
 
 from __future__ import annotations
 
--- a/bergamotthread/platform/manifest.py
+++ b/bergamotthread/platform/manifest.py
@@ -1,4 +1,4 @@
-"""Manifest of the operator, decoded into a route table."""
+"""Decoder of the operator's manifest into a route table."""
 
 from __future__ import annotations
 
@@ -79,68 +79,71 @@
     Raises
     ------
     msgspec.MsgspecError
-        If it can't be read; the message names the path and what was expected.
+        If the manifest is invalid; the message names the path of the field
+        and the expected type.
     """
     manifest = msgspec.json.decode(encoded, type=_Manifest)
     return RouteTable(
         version=manifest.version,
-        routes=tuple(_route(told) for told in manifest.routes),
+        routes=tuple(_route(route) for route in manifest.routes),
         service_by_name={
-            told.name: _service(told) for told in manifest.services
+            service.name: _service(service) for service in manifest.services
         },
         limits=_caller_limits(manifest.limits),
         team_by_key=_team_by_key(manifest.tenants),
     )
 
 
-def _route(told: _Route) -> RelayRoute:
+def _route(route: _Route) -> RelayRoute:
     splits = tuple(
         WeightedService(split.service, split.weight)
-        for split in told.traffic_split
+        for split in route.traffic_split
         if split.weight > 0
     )
     return RelayRoute(
-        name=told.name,
-        host=told.host.encode(),
-        path_prefix=told.path_prefix.encode(),
-        services=splits or (WeightedService(told.service),),
-        repeatability=_repeatability(told),
-        is_stream=told.route_type == _STREAM,
-        attempts_max=max(told.max_attempts, 1),
-        timeout_ms=told.timeout_ms,
-        first_event_goal_ms=told.target_latency_ms,
-        gap_goal_ms=told.gap_target_ms,
-        priority=told.priority,
-        needs_key=not told.auth_exempt,
+        name=route.name,
+        host=route.host.encode(),
+        path_prefix=route.path_prefix.encode(),
+        services=splits or (WeightedService(route.service),),
+        repeatability=_repeatability(route),
+        is_stream=route.route_type == _STREAM,
+        attempts_max=max(route.max_attempts, 1),
+        timeout_ms=route.timeout_ms,
+        first_event_goal_ms=route.target_latency_ms,
+        gap_goal_ms=route.gap_target_ms,
+        priority=route.priority,
+        needs_key=not route.auth_exempt,
     )
 
 
-def _repeatability(told: _Route) -> Repeatability:
-    if told.route_type == _IDEMPOTENT:
+def _repeatability(route: _Route) -> Repeatability:
+    if route.route_type == _IDEMPOTENT:
         return Repeatability.ANY_TIME
-    if told.route_type == _STREAM and told.stream_resume:
+    if route.route_type == _STREAM and route.stream_resume:
         return Repeatability.RESUMABLE
     return Repeatability.NEVER
 
 
-def _service(told: _Service) -> RelayService:
+def _service(service: _Service) -> RelayService:
     engine = None
-    if told.engine is not None:
+    if service.engine is not None:
         engine = EngineTraits(
-            slots=told.engine.slots,
-            kv_capacity_tokens=told.engine.kv_capacity_tokens,
-            copies_memory=told.engine.backups,
-            accepts_moves=told.engine.moves,
+            slots=service.engine.slots,
+            kv_capacity_tokens=service.engine.kv_capacity_tokens,
+            copies_memory=service.engine.backups,
+            accepts_moves=service.engine.moves,
         )
-    return RelayService(told.name, told.health_path, told.max_conns, engine)
+    return RelayService(
+        service.name, service.health_path, service.max_conns, engine
+    )
 
 
-def _caller_limits(told: _Limits) -> CallerLimits:
+def _caller_limits(limits: _Limits) -> CallerLimits:
     return CallerLimits(
-        header_bytes=told.max_header_bytes,
-        body_bytes=told.max_body_bytes,
-        header_timeout_ms=told.header_timeout_ms,
-        idle_timeout_ms=told.idle_timeout_ms,
+        header_bytes=limits.max_header_bytes,
+        body_bytes=limits.max_body_bytes,
+        header_timeout_ms=limits.header_timeout_ms,
+        idle_timeout_ms=limits.idle_timeout_ms,
     )
 
 
--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -1,7 +1,8 @@
-"""Changes of the store's tables, passed on to other entries.
+"""Relays changes of the store's tables to other entries.
 
-An entry answers the store's own call for changes from the rows that it has
-seen, with the age of its proof; an entry that asks it needs no other client.
+An entry serves the same feed call as the store, from the changes that it has
+read, and adds how long ago the store confirmed them. Entries that follow it
+use the same client as for the store.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from bergamotthread.platform.store import StoredRow, WireRow, WireRows
 
 FEED_PATH = b'/api/rows-feed'
-# Changes that an entry keeps for others; a manifest takes some 20 KB.
+# Changes of one table kept for other entries; a manifest takes some 20 KB.
 KEPT_CHANGES_MAX = 200
 WAIT_MAX_MS = 10_000
 _GONE = 410
@@ -32,7 +33,19 @@
 
 @dataclass
 class TableHistory:
-    """Latest changes of one table, and how current they are."""
+    """Most recent changes of one table, and when they were confirmed.
+
+    Parameters
+    ----------
+    version
+        Version of the store up to which the changes are complete.
+    oldest
+        Version after which the changes are kept.
+    confirmed_ms
+        Boot clock time up to which all writes are known.
+    is_direct
+        Whether the latest changes came from the store itself.
+    """
 
     clock: Clock
     version: int = 0
@@ -43,7 +56,7 @@
     _news: asyncio.Event = field(default_factory=asyncio.Event)
 
     def restart(self, version: int, asked_ms: float) -> None:
-        """Forget the changes before a version, up to which all is known."""
+        """Drop all changes after the whole table was read at a version."""
         self._changes.clear()
         self.oldest = version
         self.is_direct = True
@@ -56,12 +69,12 @@
         asked_ms: float,
         is_direct: bool,
     ) -> None:
-        """Take in changes; all is known that was written by `asked_ms`.
+        """Append changes; all writes up to `asked_ms` are then known.
 
         Parameters
         ----------
         is_direct
-            Whether the store itself told them.
+            Whether the changes came from the store itself.
         """
         self.is_direct = is_direct
         for row in rows:
@@ -75,15 +88,16 @@
         version: int,
         wait_ms: float,
     ) -> WireRows | None:
-        """Return changes and their age with the next proof, or none if lost.
+        """Return the changes after a version, or None if they are not kept.
 
-        A change that is there already is returned at once.
+        If there are none yet, wait up to `wait_ms` for the next confirmation.
+        The result has the age of the latest confirmation.
         """
         if version < self.oldest or not self.version:
             return None
-        news = self._news
+        event = self._news
         if version >= self.version:
-            await _wait(news, min(wait_ms, WAIT_MAX_MS), self.clock)
+            await _wait(event, min(wait_ms, WAIT_MAX_MS), self.clock)
         if version < self.oldest:
             return None
         rows = tuple(
@@ -100,14 +114,14 @@
     def _confirm(self, version: int, asked_ms: float) -> None:
         self.version = max(version, self.version)
         self.confirmed_ms = max(asked_ms, self.confirmed_ms)
-        news = self._news
+        event = self._news
         self._news = asyncio.Event()
-        news.set()
+        event.set()
 
 
 @dataclass
 class RelayedFeedServer:
-    """Answers other entries' calls for changes."""
+    """Serves the feed call to other entries."""
 
     clock: Clock
     history_by_table: dict[str, TableHistory]
@@ -116,15 +130,15 @@
     is_draining: bool = False
 
     async def answer(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer one feed call."""
         path, _, query = exchange.request.target.partition(b'?')
-        asked = dict(parse_qsl(query.decode('latin-1')))
-        history = self.history_by_table.get(asked.get('table', ''))
-        after = asked.get('after', '')
+        fields = dict(parse_qsl(query.decode('latin-1')))
+        history = self.history_by_table.get(fields.get('table', ''))
+        after = fields.get('after', '')
         if path != FEED_PATH or history is None or not after.isdigit():
             exchange.respond(404, ())
             return
-        wait_ms = asked.get('wait_ms', '0')
+        wait_ms = fields.get('wait_ms', '0')
         changes = await history.changes_after(
             int(after),
             float(wait_ms) if wait_ms.isdigit() else 0,
@@ -135,10 +149,10 @@
         exchange.respond(200, (), msgspec.json.encode(changes))
 
 
-async def _wait(news: asyncio.Event, wait_ms: float, clock: Clock) -> None:
+async def _wait(event: asyncio.Event, wait_ms: float, clock: Clock) -> None:
     try:
         async with clock.timeout_ms(wait_ms):
-            await news.wait()
+            await event.wait()
     except TimeoutError:
         return
 
--- a/bergamotthread/platform/runner_calls.py
+++ b/bergamotthread/platform/runner_calls.py
@@ -1,4 +1,4 @@
-"""Calls to runners beside requests: load reports and copies of memory."""
+"""Control calls to runners: load reports, KV cache copies, cached prompts."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from bergamotthread.process.relay.upstreams import LoadReport, Upstream
 from bergamotthread.request.relay.engine_memory import EngineMemory
 
-# A copy of a long prompt takes 80 ms between failure domains, and waits for
-# other copies on both links.
+# Copying the KV cache of a long prompt between failure domains takes 80 ms,
+# and the copy waits for other copies on both links.
 COPY_TIMEOUT_MS = 1500
 _OK = 200
 
@@ -31,13 +31,13 @@
 
 @dataclass(frozen=True)
 class RunnerCalls(EngineMemory):
-    """Asks runners over kept connections."""
+    """Calls runners over pooled connections."""
 
     pool: UpstreamPool
     clock: Clock
 
     async def report(self, upstream: Upstream) -> LoadReport | None:
-        """Return the load that an upstream reports now, or none."""
+        """Return an upstream's current load, or None if it can't be read."""
         try:
             fetched = await fetch(
                 self.pool,
@@ -46,7 +46,11 @@
                 PROBE_TIMEOUT_MS,
             )
         except ConnectionError as error:
-            logging.debug('probe of %s: %s', upstream.record.instance, error)
+            logging.debug(
+                'load report of %s not read: %s',
+                upstream.record.instance,
+                error,
+            )
             return None
         return decode_report(fetched.body, self.clock.now_ms())
 
@@ -56,26 +60,46 @@
         request_id: str,
         target: Upstream,
     ) -> str:
-        """Copy a run's memory; return what names the copy, or nothing."""
-        asked = {'id': request_id, 'target': target.address, 'last': False}
+        """Copy the KV cache of a run while the run goes on.
+
+        Returns
+        -------
+        str
+            Address of the source, a slash and the handle of the copy; empty if
+            no copy was made.
+        """
+        copy_request = {
+            'id': request_id,
+            'target': target.address,
+            'last': False,
+        }
         try:
             fetched = await fetch(
                 self.pool,
                 source.address,
-                Asked(b'POST', b'/api/kv-move', msgspec.json.encode(asked)),
+                Asked(
+                    b'POST', b'/api/kv-move', msgspec.json.encode(copy_request)
+                ),
                 COPY_TIMEOUT_MS,
             )
             if fetched.status != _OK:
-                logging.debug('copy refused with %d', fetched.status)
+                logging.debug(
+                    'KV cache copy refused with status %d',
+                    fetched.status,
+                )
                 return ''
             copied = msgspec.json.decode(fetched.body, type=_Copied)
         except (ConnectionError, msgspec.MsgspecError) as error:
-            logging.debug('copy at %s: %s', source.address, error)
+            logging.debug(
+                'KV cache copy from %s failed: %s',
+                source.address,
+                error,
+            )
             return ''
         return f'{source.address}/{copied.name}'
 
     async def drop(self, source: Upstream, name: str) -> None:
-        """Free a copy that `copy` named, at both ends."""
+        """Free a copy made by `copy`, at the source and at the target."""
         target = f'/api/kv-handle/{name.rpartition("/")[2]}'.encode()
         try:
             await fetch(
@@ -85,11 +109,12 @@
                 COPY_TIMEOUT_MS,
             )
         except ConnectionError as error:
-            # Its holder drops it some time after its last part.
-            logging.debug('copy %s not freed: %s', name, error)
+            # The target frees the copy itself, some time after its last part
+            # arrived.
+            logging.debug('KV cache copy %s not freed: %s', name, error)
 
     async def cached_tokens(self, upstream: Upstream, part: bytes) -> int:
-        """Return the tokens cached of one part of a prompt; 0 if none."""
+        """Return the number of cached tokens of a prompt part; 0 if none."""
         try:
             fetched = await fetch(
                 self.pool,
@@ -97,11 +122,17 @@
                 Asked(b'GET', b'/api/kv-list'),
                 PROBE_TIMEOUT_MS,
             )
-            kept = msgspec.json.decode(fetched.body, type=_Kept)
+            cached = msgspec.json.decode(fetched.body, type=_Kept)
         except (ConnectionError, msgspec.MsgspecError) as error:
-            logging.debug('cache of %s: %s', upstream.record.instance, error)
+            logging.debug(
+                'cached prompts of %s not read: %s',
+                upstream.record.instance,
+                error,
+            )
             return 0
-        wanted = part.decode('latin-1').lower()
+        part_name = part.decode('latin-1').lower()
         return sum(
-            tokens for _, name, tokens, _ in kept.held if name.lower() == wanted
+            tokens
+            for _, name, tokens, _ in cached.held
+            if name.lower() == part_name
         )
--- a/bergamotthread/platform/runner_rows.py
+++ b/bergamotthread/platform/runner_rows.py
@@ -1,4 +1,4 @@
-"""Rows by which runners register themselves, and their load reports."""
+"""Decoders of the runners' registration rows and load reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     UpstreamState,
 )
 
-# Tokens of a usual prompt (the sheets).
+# Tokens of a typical prompt, from the users' data sheets.
 UNREAD_TOKENS = 8200
 
 
@@ -34,16 +34,15 @@
 
 
 def decode_runner(instance: str, encoded: bytes) -> UpstreamRecord | None:
-    """Return the upstream that a row names, or none.
+    """Decode a runner's row; return None if it describes no upstream.
 
-    Rows of other writers may lack fields or have other types; they name no
-    upstream.
+    Other writers' rows may lack fields or have fields of other types.
     """
     try:
         row = msgspec.json.decode(encoded, type=_Row)
         state = UpstreamState(row.state)
     except (msgspec.MsgspecError, ValueError) as error:
-        logging.debug('row of %s names no upstream: %s', instance, error)
+        logging.debug('row of %s is not a runner: %s', instance, error)
         return None
     if ':' not in row.address or not row.service:
         return None
@@ -59,15 +58,21 @@
 
 
 def decode_report(encoded: bytes, at_ms: float) -> LoadReport | None:
-    """Return the load that an upstream reported, or none if unreadable.
+    """Decode an upstream's load report; return None if it is invalid.
 
-    Only runs with events are listed; the others in flight read their prompts,
-    which take the rest of the memory unless copies for others are in it.
+    The report lists only the runs that have produced an event. The other runs
+    in flight are still reading their prompts. These prompts take the rest of
+    the used KV cache, unless it also holds copies of other upstreams' runs.
+
+    Parameters
+    ----------
+    at_ms
+        Monotonic time at which the report arrived.
     """
     try:
         report = msgspec.json.decode(encoded, type=_Report)
     except msgspec.MsgspecError as error:
-        logging.debug('load report is unreadable: %s', error)
+        logging.debug('load report is invalid: %s', error)
         return None
     return LoadReport(
         queued=report.queue_depth,
@@ -80,9 +85,11 @@
 
 
 def _unread_tokens(report: _Report) -> int:
-    reading = max(report.in_flight - len(report.runs), 0)
-    unread = reading * UNREAD_TOKENS
+    prefilling_runs = max(report.in_flight - len(report.runs), 0)
+    unread_tokens = prefilling_runs * UNREAD_TOKENS
     if not report.handles:
-        running = sum(tokens for _, tokens, *_ in report.runs)
-        unread = min(max(report.kv_used - running, 0), unread * 2)
-    return unread + report.queue_depth * UNREAD_TOKENS
+        running_tokens = sum(tokens for _, tokens, *_ in report.runs)
+        unread_tokens = min(
+            max(report.kv_used - running_tokens, 0), unread_tokens * 2
+        )
+    return unread_tokens + report.queue_depth * UNREAD_TOKENS
--- a/bergamotthread/platform/settings.py
+++ b/bergamotthread/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings file of a process, as the platform writes it."""
+"""Settings file that the platform writes for a process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PlatformSettingsError(BergamotError):
-    """The settings file can't be used."""
+    """The settings file can't be read or decoded."""
 
 
 class _Listen(msgspec.Struct, frozen=True):
@@ -49,13 +49,13 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """What a process is told by the platform.
+    """Settings of a process on the platform.
 
     Parameters
     ----------
     front, ready, control
-        Addresses to listen on for callers, for the balancer's check and for
-        other processes; empty where the process does not serve them.
+        Addresses to listen on for callers, for the load balancer's check and
+        for other processes; empty if the process does not serve them.
     region_by_domain
         Region of each failure domain.
     metrics_port, peer_port
@@ -63,12 +63,14 @@
     stop_grace_ms
         Time between the request to stop and the kill.
     version_bound_ms
-        Time within which a confirmed version is in force.
+        Time within which a confirmed version must be in force.
     revoke_bound_ms
-        Time within which a removed key is refused; none where machines that
-        are out of touch may go on.
+        Time within which a removed key must be refused; None if machines that
+        can't reach the store may go on serving.
     repeat_ratio, repeat_window_ms, repeat_slack
-        Bound on the repeats of a service, summed over all entries.
+        Bound on the retries of a service, summed over all entries: retries
+        for each first attempt, length of the sliding window, and retries in a
+        window beyond the ratio.
     """
 
     host: str
@@ -100,8 +102,8 @@
         Raises
         ------
         PlatformSettingsError
-            If the file is missing or a field is of another type; the error
-            names the file and the path in it.
+            If the file is missing or a field has the wrong type; the error
+            names the file and the path of the field.
         """
         try:
             return cls.from_json(path.read_bytes())
@@ -113,20 +115,26 @@
 
     @classmethod
     def from_json(cls, encoded: bytes) -> PlatformSettings:
-        """Decode the settings; unknown fields are ignored."""
-        told = msgspec.json.decode(encoded, type=_SettingsFile)
-        bounds = told.bounds
+        """Decode the settings; unknown fields are ignored.
+
+        Raises
+        ------
+        msgspec.MsgspecError
+            If a field is missing or has the wrong type.
+        """
+        settings_file = msgspec.json.decode(encoded, type=_SettingsFile)
+        bounds = settings_file.bounds
         return cls(
-            host=told.node_name,
-            ip=told.ip,
-            failure_domain=told.zone,
-            region_by_domain=told.zones,
-            front=told.listen.front,
-            ready=told.listen.ready,
-            control=told.listen.control,
-            metrics_port=told.internal_ports[0],
-            peer_port=told.internal_ports[0] + 1,
-            store_address=told.platform.address,
+            host=settings_file.node_name,
+            ip=settings_file.ip,
+            failure_domain=settings_file.zone,
+            region_by_domain=settings_file.zones,
+            front=settings_file.listen.front,
+            ready=settings_file.listen.ready,
+            control=settings_file.listen.control,
+            metrics_port=settings_file.internal_ports[0],
+            peer_port=settings_file.internal_ports[0] + 1,
+            store_address=settings_file.platform.address,
             stop_grace_ms=bounds.grace_s * 1000,
             version_bound_ms=bounds.config_apply_ms,
             revoke_bound_ms=(
--- a/bergamotthread/platform/store.py
+++ b/bergamotthread/platform/store.py
@@ -1,4 +1,4 @@
-"""The published calls of the platform's store."""
+"""Client of the platform's store, for its published calls."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from bergamotthread.connection.http.upstream_pool import UpstreamPool
 from bergamotthread.errors import BergamotError, Step
 
-# A call that waits for nothing answers in some milliseconds; slow spells of
-# the store stretch this up to a hundredfold.
+# Calls without a wait are answered within some milliseconds. While the store is
+# slow, this can take up to a hundred times as long.
 CALL_TIMEOUT_MS = 1200
-# Time beyond its own wait after which a long poll is taken for lost.
+# A long poll is given up when its answer is this much later than its wait.
 POLL_MARGIN_MS = 700
-# The same for another entry, which answers from memory.
+# The same for a poll of another entry, which answers from memory.
 FOLLOW_TIMEOUT_MARGIN_MS = 200
 PAGE_ROWS = 500
 _OK = 200
@@ -37,19 +37,19 @@
 
 
 class HistoryLostError(StoreCallError):
-    """The changes asked for are no longer kept; read all rows anew."""
+    """The requested changes are no longer kept; read the whole table."""
 
 
 class NotAsExpectedError(StoreCallError):
-    """A condition of a write did not hold; nothing was written."""
+    """A precondition of a write did not hold; nothing was written."""
 
 
 class NotFoundError(StoreCallError):
-    """The store has no object of that name."""
+    """The store has no object with the requested name."""
 
 
 class WireRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Row as the store sends it; `encoded` is base64."""
+    """Row in the store's wire format; `encoded` is base64."""
 
     key: str
     encoded: str = msgspec.field(name='value', default='')
@@ -58,10 +58,10 @@
 
 
 class WireRows(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer about rows.
+    """Answer to a read or to a feed call.
 
-    Entries that pass rows on add the age of their proof, and whether it came
-    from the store itself.
+    An entry that relays rows adds how long ago the store confirmed them, and
+    whether the entry read them from the store itself.
     """
 
     rows: tuple[WireRow, ...] = ()
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """One row of a table; `payload` is none where it was removed."""
+    """One row of a table; `payload` is None if the row was removed."""
 
     key: str
     payload: bytes | None
@@ -87,8 +87,8 @@
     Parameters
     ----------
     age_ms
-        How long before the question was asked this was current; 0 from the
-        store itself.
+        Time since the store confirmed the rows, when the answer was sent; 0
+        for an answer of the store itself.
     """
 
     rows: tuple[StoredRow, ...]
@@ -98,14 +98,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RowChange:
-    """Change of one row on the condition of its version.
+    """Change of one row, made only if the row has the expected version.
 
     Parameters
     ----------
     payload
-        New content; none to remove the row.
+        New content; None removes the row.
     expected
-        Version that the row must have; 0 if there must be none.
+        Version that the row must have; 0 if the row must not exist.
     """
 
     table: str
@@ -128,7 +128,13 @@
 
 @dataclass
 class StoreCalls:
-    """Calls the store over kept connections; nothing is repeated."""
+    """Calls the store over pooled connections; no call is retried.
+
+    Parameters
+    ----------
+    calls
+        Number of calls to the store so far.
+    """
 
     address: str
     pool: UpstreamPool
@@ -141,14 +147,14 @@
         end: str = '',
         limit: int | None = None,
     ) -> RowsRead:
-        """Return the rows of a table's empty part, in order of their keys.
+        """Return the rows of a table whose part is empty, sorted by key.
 
         Parameters
         ----------
         start, end
-            First key, and the key before which to stop; empty for no bound.
+            First key, and the key to stop before; empty for no bound.
         limit
-            Most rows to return.
+            Maximum number of rows.
 
         Raises
         ------
@@ -159,11 +165,11 @@
         version = 0
         bounds = {'from': start, 'target': end}
         while True:
-            left = PAGE_ROWS if limit is None else limit - len(rows)
+            remaining = PAGE_ROWS if limit is None else limit - len(rows)
             query = {
                 'table': table,
                 'part': '',
-                'limit': str(min(left, PAGE_ROWS)),
+                'limit': str(min(remaining, PAGE_ROWS)),
                 **{name: key for name, key in bounds.items() if key},
             }
             page = await self._rows(
@@ -180,7 +186,7 @@
             bounds['from'] = f'{page.rows[-1].key}\0'
 
     async def change(self, change: RowChange) -> int:
-        """Change one row and return the version that it got.
+        """Change one row and return its new version.
 
         Raises
         ------
@@ -199,7 +205,7 @@
         return self._decoded(body, WireRows).ver
 
     async def put_object(self, name: str, body: bytes) -> None:
-        """Store an object under a name that is not taken.
+        """Store an object under a new name.
 
         Raises
         ------
@@ -220,15 +226,21 @@
         )
 
     async def read_object(self, name: str) -> bytes | None:
-        """Return an object, or none if there is no such name."""
-        asked = Asked(b'GET', _object_target('get', name))
+        """Return an object, or None if it does not exist."""
+        request = Asked(b'GET', _object_target('get', name))
         try:
-            return await self._call(self.address, asked, CALL_TIMEOUT_MS)
+            return await self._call(self.address, request, CALL_TIMEOUT_MS)
         except NotFoundError:
             return None
 
     async def object_names(self, prefix: str, limit: int) -> tuple[str, ...]:
-        """Return up to `limit` names that start with a prefix, in order."""
+        """Return up to `limit` object names that start with a prefix, sorted.
+
+        Raises
+        ------
+        StoreCallError
+            If the store did not answer.
+        """
         names: list[str] = []
         query = {'path_prefix': prefix}
         while True:
@@ -250,14 +262,16 @@
         after: int,
         wait_ms: int,
     ) -> RowsRead:
-        """Return the rows changed after a version, at once or when there are.
+        """Return the rows changed after a version.
+
+        If there are none yet, the store waits up to `wait_ms` for a change.
 
         Raises
         ------
         HistoryLostError
             If the store no longer keeps changes as old as `after`.
         StoreCallError
-            If it did not answer.
+            If the store did not answer.
         """
         page = await self._feed(
             self.address,
@@ -279,15 +293,15 @@
         Parameters
         ----------
         age_max_ms
-            Age of the entry's proof beyond which it is not followed.
+            Maximum time since the store confirmed the entry's changes.
 
         Raises
         ------
         HistoryLostError
-            If the entry does not know changes as old as `after`.
+            If the entry does not keep changes as old as `after`.
         StoreCallError
-            If it did not answer, follows another one itself, or has heard
-            nothing of late.
+            If the entry did not answer, itself follows another entry, or its
+            changes were confirmed longer ago than `age_max_ms`.
         """
         page = await self._feed(
             peer,
@@ -297,19 +311,20 @@
         if not page.is_direct or page.age_ms > age_max_ms:
             raise StoreCallError(
                 f'{table} is {page.age_ms:.0f} ms old, '
-                f'direct: {page.is_direct}, expected {age_max_ms} ms, direct',
+                f'direct: {page.is_direct}, expected at most {age_max_ms} ms, '
+                'direct: True',
                 step=Step.STORE,
                 peer=peer,
             )
         return _read(page, after)
 
     async def put(self, table: str, key: str, payload: bytes) -> None:
-        """Write one row whatever it held.
+        """Write one row without a precondition.
 
         Raises
         ------
         StoreCallError
-            If the store did not say that it was written.
+            If the store did not confirm the write.
         """
         row = _row_name(table, key)
         await self._transact(puts=[{**row, 'value': _encoded(payload)}])
@@ -320,7 +335,7 @@
         puts: Sequence[_WireFields] = (),
         removed: Sequence[_WireFields] = (),
     ) -> bytes:
-        """Change rows together and return the answer."""
+        """Change rows in one transaction and return the answer's body."""
         changes = {'expected_rev': expected, 'puts': puts, 'remove': removed}
         return await self._call(
             self.address,
@@ -361,20 +376,20 @@
     async def _call(
         self,
         address: str,
-        asked: Asked,
+        request: Asked,
         timeout_ms: float,
     ) -> bytes:
         if address == self.address:
             self.calls += 1
-        target = asked.target.decode()
+        target = request.target.decode()
         try:
-            fetched = await fetch(self.pool, address, asked, timeout_ms)
+            fetched = await fetch(self.pool, address, request, timeout_ms)
         except ConnectionError as error:
             raise self._error(str(error)) from error
         if fetched.status != _OK:
-            kind = _ERROR_BY_STATUS.get(fetched.status, StoreCallError)
-            told = f'{target}: status {fetched.status}, expected {_OK}'
-            raise kind(told, step=Step.STORE, peer=address)
+            error_type = _ERROR_BY_STATUS.get(fetched.status, StoreCallError)
+            message = f'{target}: status {fetched.status}, expected {_OK}'
+            raise error_type(message, step=Step.STORE, peer=address)
         return fetched.body
 
     def _error(self, message: str) -> StoreCallError:
@@ -405,16 +420,16 @@
     return RowsRead(rows, max(page.ver, after), page.age_ms)
 
 
-def _rows(told: Sequence[WireRow]) -> list[StoredRow]:
-    return [_row(row) for row in told]
+def _rows(wire_rows: Sequence[WireRow]) -> list[StoredRow]:
+    return [_row(wire_row) for wire_row in wire_rows]
 
 
-def _row(told: WireRow) -> StoredRow:
-    if told.deleted:
-        return StoredRow(told.key, None, told.ver)
+def _row(wire_row: WireRow) -> StoredRow:
+    if wire_row.deleted:
+        return StoredRow(wire_row.key, None, wire_row.ver)
     try:
-        payload = base64.b64decode(told.encoded)
+        payload = base64.b64decode(wire_row.encoded)
     except (binascii.Error, ValueError):
-        # Rows of other writers may hold anything; this one names nothing.
+        # Other writers may store anything; invalid base64 counts as empty.
         payload = b''
-    return StoredRow(told.key, payload, told.ver)
+    return StoredRow(wire_row.key, payload, wire_row.ver)
--- a/bergamotthread/platform/tables.py
+++ b/bergamotthread/platform/tables.py
@@ -1,4 +1,4 @@
-"""The product's table, object store and host list on the platform's store."""
+"""Table, object store and host list, kept in the platform's store."""
 
 from __future__ import annotations
 
@@ -36,16 +36,17 @@
     StoreLimits,
 )
 
-# All rows of the product; keys say what they are for.
+# Holds all rows of the product; the prefix of a key tells its kind.
 ROWS_TABLE = 'bergamotthread'
-# Rows that whoever starts machines keeps, one for each, by address.
+# One row for each machine, keyed by address and kept by whoever starts the
+# machines.
 HOSTS_TABLE = 'hosts'
-# After every key that starts with a prefix: the last code point.
+# Last code point; a prefix followed by it sorts after all keys with the prefix.
 _AFTER_ALL = '\U0010ffff'
 
 
 class StoredTable(Table):
-    """Table in one table of the platform's store."""
+    """The product's rows, in one table of the platform's store."""
 
     def __init__(self, calls: StoreCalls) -> None:
         self._calls = calls
@@ -53,13 +54,13 @@
     async def read(self, key: str) -> Row | None:
         """Return the row, or None where there is none."""
         with _translated():
-            read = await self._calls.read_rows(
+            rows_read = await self._calls.read_rows(
                 ROWS_TABLE,
                 key,
                 f'{key}\0',
                 1,
             )
-        rows = _rows(read.rows)
+        rows = _rows(rows_read.rows)
         return rows[0] if rows else None
 
     async def write(self, key: str, body: bytes, *, expected: int) -> Row:
@@ -88,13 +89,19 @@
 
 
 class StoredObjects(ObjectStore):
-    """Objects of the platform's store."""
+    """The product's objects, in the platform's store."""
 
     def __init__(self, calls: StoreCalls) -> None:
         self._calls = calls
 
     async def put(self, name: str, body: bytes) -> None:
-        """Store an object; the same name and body again is no error."""
+        """Store an object; storing the same name and body again is allowed.
+
+        Raises
+        ------
+        StoreConflictError
+            If the name is taken by an object with another body.
+        """
         try:
             with _translated():
                 await self._calls.put_object(name, body)
@@ -114,7 +121,7 @@
 
 
 class StoredHostList(HostList):
-    """Hosts that a table of the platform's store lists."""
+    """Host list, read from a table of the platform's store."""
 
     def __init__(self, calls: StoreCalls) -> None:
         self._calls = calls
@@ -128,7 +135,7 @@
 
 
 def open_store(settings: PlatformSettings, clock: Clock) -> StoreClient:
-    """Return a client of the platform's store within the settings' limits."""
+    """Return a client of the platform's store, limited by the settings."""
     connections = UpstreamPool(clock, b'')
     calls = StoreCalls(settings.address, connections)
     return StoreClient(
@@ -142,7 +149,7 @@
 
 @contextmanager
 def _translated() -> Iterator[None]:
-    """Raise the errors of the product's interfaces."""
+    """Translate errors of `StoreCalls` to those of the product's interfaces."""
     try:
         yield
     except NotAsExpectedError as error:
@@ -153,7 +160,7 @@
         ) from error
     except StoreCallError as error:
         raise StoreUnavailableError(
-            f'no answer from the platform: {error}',
+            f'call to the platform failed: {error}',
             step=Step.STORE,
         ) from error
 
@@ -165,9 +172,14 @@
 
 
 def _host(row: StoredRow) -> HostEntry | None:
-    """Return a host, or none for a row that holds something else."""
+    """Decode a host; return None for a row that holds something else."""
     try:
         return msgspec.json.decode(row.payload or b'', type=HostEntry)
     except msgspec.MsgspecError as error:
-        logging.warning('row %s of %s: %s', row.key, HOSTS_TABLE, error)
+        logging.warning(
+            'row %s of table %s is not a host; ignored: %s',
+            row.key,
+            HOSTS_TABLE,
+            error,
+        )
         return None
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -1,4 +1,4 @@
-"""Watches on the store's tables of the operator and of the runners."""
+"""Watches on the store's tables of versions, runners and entries."""
 
 from __future__ import annotations
 
@@ -35,31 +35,34 @@
 OPERATOR_TABLE = 'op'
 RUNNER_TABLE = 'servers'
 MANIFEST_KEY = 'config'
-# Tables are followed by long polls. An answer proves that what is known was
-# current when it was asked for. The bounds are 3 s for runners that drain and
-# 5 s for removed keys, also while a poll is lost or the entry that is followed
-# falls silent.
+# Tables are followed by long polls. An answer confirms that the known rows were
+# current when the poll was sent. A drain must take effect within 3 s and a
+# removed key within 5 s, even if a poll is lost or the entry that is followed
+# stops answering.
 VERSION_WAIT_MS = 1000
 RUNNER_WAIT_MS = 1000
-# Rows of several runners that change together come in one answer.
+# Pause between polls, so that one answer has the rows of several runners that
+# change together.
 RUNNER_INTERVAL_MS = 250
 ENTRY_TABLE = 'entries'
 ENTRY_WAIT_MS = 20_000
 ENTRY_INTERVAL_MS = 1000
 RETRY_MS = 250
-# The poll of the entry that is followed ends within this time after its wait.
+# The poll of a follower waits this much longer than the followed entry's own
+# poll of the store, which ends within this time after its wait.
 FOLLOW_MARGIN_MS = 300
 REGISTER_RETRY_MS = 3000
-# Time after the last failed call to the store for which a row that is gone may
-# have lapsed in the outage: such rows are back within two seconds of the return
-# of the store (the letter). Counted from the outage and not from the row, so
-# that one that is gone for good gets no work past the bound on drains.
+# After an outage, a row that is missing may only have lapsed in it. The users
+# state that such rows are back within two seconds of the return of the store.
+# The time counts from the last failed call to the store and not from the
+# removal of the row, so that an upstream that is gone for good gets no work
+# past the bound on drains.
 LAPSED_ROW_MS = 2500
 
 
 @dataclass(frozen=True)
 class WatchSources:
-    """What all watches read from."""
+    """Sources of rows, clock and log that all watches share."""
 
     store: StoreCalls
     feeds: FeedSources
@@ -68,7 +71,18 @@
 
 
 class TableWatch(ABC):
-    """Follows the rows of one table."""
+    """Follows the rows of one table.
+
+    Attributes
+    ----------
+    wait_ms
+        Wait of one long poll.
+    interval_ms
+        Pause between polls.
+    age_max_ms
+        An entry is followed only if the store confirmed its changes no longer
+        ago than this.
+    """
 
     table: str
     wait_ms: int
@@ -104,15 +118,15 @@
 
     @abstractmethod
     def take_all(self, rows: Iterable[StoredRow]) -> None:
-        """Take in the whole table."""
+        """Apply the rows of the whole table."""
 
     @abstractmethod
     def take_changes(self, rows: Iterable[StoredRow]) -> None:
-        """Take in changed rows in order."""
+        """Apply changed rows in order."""
 
     @abstractmethod
     def confirmed(self, asked_ms: float) -> None:
-        """Note that all is known that was written before `asked_ms`."""
+        """Note that all writes before `asked_ms` are known."""
 
     @abstractmethod
     def lost(self) -> None:
@@ -135,11 +149,11 @@
         self._feeds.record_success(self.table, None)
 
     async def _follow(self, after: int, source: EntryRecord) -> bool:
-        """Return whether an entry that is followed knew what is asked."""
+        """Read changes from another entry; return whether this succeeded."""
         try:
             await self._read_changes(after, source)
         except HistoryLostError:
-            # It knows less than this entry; the store is asked.
+            # The entry keeps fewer changes than needed; the store is read.
             return False
         except StoreCallError as error:
             self._feeds.record_failure(self.table, source)
@@ -202,7 +216,7 @@
 
 
 class VersionWatch(TableWatch):
-    """Takes the operator's manifest into force."""
+    """Applies the operator's manifest when it changes."""
 
     table = OPERATOR_TABLE
     wait_ms = VERSION_WAIT_MS
@@ -222,29 +236,32 @@
         self._life_cycle = life_cycle
 
     def take_all(self, rows: Iterable[StoredRow]) -> None:
-        """Take in the manifest among the rows."""
+        """Apply the manifest among the rows."""
         self.take_changes(rows)
 
     def take_changes(self, rows: Iterable[StoredRow]) -> None:
-        """Take in the manifest if it changed."""
+        """Apply the manifest if it changed."""
         for row in rows:
             if row.key == MANIFEST_KEY and row.payload is not None:
                 self._take(row.payload)
 
     def confirmed(self, asked_ms: float) -> None:
-        """Note that the version is current."""
+        """Note that the version in force was current at `asked_ms`."""
         if self._holder.table is not None:
             self._freshness.confirm(asked_ms)
 
     def lost(self) -> None:
-        """Go on with the version in force, whose age grows."""
-        logging.debug('version is %.0f ms old', self._freshness.age_ms)
+        """Keep the version in force; the age of its confirmation grows."""
+        logging.debug(
+            'store did not answer; version was confirmed %.0f ms ago',
+            self._freshness.age_ms,
+        )
 
     def _take(self, encoded: bytes) -> None:
         try:
             table = decode_manifest(encoded)
         except msgspec.MsgspecError as error:
-            logging.error('manifest kept as it was: %s', error)
+            logging.error('manifest is invalid; former one kept: %s', error)
             self._log.write('manifest-refused', detail=str(error))
             return
         if self._holder.offer(table):
@@ -257,7 +274,7 @@
 
 
 class RunnerWatch(TableWatch):
-    """Keeps the directory of upstreams like the runners' rows."""
+    """Keeps the upstream directory up to date with the runners' rows."""
 
     table = RUNNER_TABLE
     wait_ms = RUNNER_WAIT_MS
@@ -278,7 +295,7 @@
         self._dropping: asyncio.Task[None] | None = None
 
     def take_all(self, rows: Iterable[StoredRow]) -> None:
-        """Take in all rows; upstreams without one have gone."""
+        """Apply all rows; upstreams without a row have left."""
         rows = tuple(rows)
         listed = {row.key for row in rows if row.payload is not None}
         self.take_changes(rows)
@@ -286,7 +303,7 @@
             self._gone(instance)
 
     def take_changes(self, rows: Iterable[StoredRow]) -> None:
-        """Take in changed rows; removed ones name upstreams that left."""
+        """Apply changed rows; a removed row means that its upstream left."""
         for row in rows:
             if row.payload is None:
                 self._gone(row.key)
@@ -294,10 +311,10 @@
                 self._listed(row.key, row.payload)
 
     def confirmed(self, asked_ms: float) -> None:
-        """Do nothing; rows that do not come back are dropped by time."""
+        """Do nothing; rows that do not return are dropped after a time."""
 
     def lost(self) -> None:
-        """Note an outage, in which rows lapse though their runners live."""
+        """Record an outage, in which rows of live runners may lapse."""
         self._lost_ms = self._clock.now_ms()
 
     def _listed(self, instance: str, encoded: bytes) -> None:
@@ -335,11 +352,11 @@
 
     @property
     def _lapse_left_ms(self) -> float:
-        """Return how long a row that lapsed in an outage may come back."""
+        """Return the time left for rows that lapsed in an outage to return."""
         return self._lost_ms + LAPSED_ROW_MS - self._clock.now_ms()
 
     async def _drop_lapsed(self) -> None:
-        """Drop the rows that did not come back after an outage."""
+        """Remove the upstreams whose rows did not return after an outage."""
         while self._lapse_left_ms > 0:
             await self._clock.sleep_ms(self._lapse_left_ms)
         while self._lapsed:
@@ -358,12 +375,12 @@
 
 
 class EntryWatch(TableWatch):
-    """Knows the other entries, from the rows that each writes of itself."""
+    """Tracks the other entries by the rows that they register."""
 
     table = ENTRY_TABLE
     wait_ms = ENTRY_WAIT_MS
     interval_ms = ENTRY_INTERVAL_MS
-    # Entries come and go rarely, and one that is gone is noticed by use.
+    # Entries rarely come and go, and calls to one that has gone fail.
     age_max_ms = math.inf
 
     def __init__(self, sources: WatchSources, own: EntryRecord) -> None:
@@ -372,7 +389,7 @@
         self._is_registered = False
 
     async def register(self) -> None:
-        """Write the row of this entry, until the store has it."""
+        """Write the row of this entry; retry until the store has it."""
         row = _EntryRow(self._own.address, self._own.region)
         while not self._is_registered:
             try:
@@ -388,25 +405,31 @@
                 self._is_registered = True
 
     def take_all(self, rows: Iterable[StoredRow]) -> None:
-        """Take in all registrations."""
+        """Apply all registrations."""
         self.take_changes(rows)
 
     def take_changes(self, rows: Iterable[StoredRow]) -> None:
-        """Take in new registrations."""
+        """Apply changed registrations."""
         for row in rows:
             self._take(row)
 
     def confirmed(self, asked_ms: float) -> None:
-        """Do nothing; an entry that is gone is noticed when it is asked."""
+        """Do nothing; calls to an entry that has gone fail."""
 
     def lost(self) -> None:
-        """Do nothing; what is known of other entries is checked by use."""
+        """Do nothing; calls to an entry that has gone fail."""
 
     def _take(self, row: StoredRow) -> None:
         try:
-            told = msgspec.json.decode(row.payload or b'', type=_EntryRow)
+            entry_row = msgspec.json.decode(row.payload or b'', type=_EntryRow)
         except msgspec.MsgspecError as error:
-            logging.debug('row of entry %s: %s', row.key, error)
+            logging.debug(
+                'row of entry %s is invalid; entry removed: %s',
+                row.key,
+                error,
+            )
             self._feeds.remove(row.key)
             return
-        self._feeds.update(EntryRecord(row.key, told.address, told.region))
+        self._feeds.update(
+            EntryRecord(row.key, entry_row.address, entry_row.region)
+        )
--- a/tests/test_platform_tables.py
+++ b/tests/test_platform_tables.py
@@ -1,4 +1,4 @@
-"""The product's table, object store and host list on the published calls."""
+"""Table, object store and host list on a stand-in of the platform's store."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     asyncio.run(serve())
 
 
-def test_table_reads_what_it_wrote():
+def test_written_rows_are_read_scanned_and_deleted():
     async def scenario(client, _):
         table = client.table(StoreUse.CALLS)
         key = 'calls/a b/ü?&='
@@ -49,7 +49,7 @@
     _run(scenario)
 
 
-def test_write_on_another_revision_changes_nothing():
+def test_write_with_a_wrong_revision_changes_nothing():
     async def scenario(client, _):
         table = client.table(StoreUse.CALLS)
         row = await table.write('a', b'1', expected=0)
@@ -65,7 +65,7 @@
     _run(scenario)
 
 
-def test_row_that_was_removed_and_written_again_has_another_revision():
+def test_row_written_again_after_a_delete_has_a_new_revision():
     async def scenario(client, _):
         table = client.table(StoreUse.CALLS)
         first = await table.write('a', b'1', expected=0)
@@ -77,7 +77,7 @@
     _run(scenario)
 
 
-def test_scan_returns_all_pages_of_its_prefix_alone():
+def test_scan_returns_all_pages_of_its_prefix_only():
     async def scenario(client, store):
         for number in range(1201):
             store.put(ROWS_TABLE, f'p/{number:04}', b'1')
@@ -94,7 +94,7 @@
     _run(scenario)
 
 
-def test_object_is_stored_once():
+def test_object_cannot_be_replaced_by_another_body():
     async def scenario(client, _):
         objects = client.object_store(StoreUse.AUDIT)
         name = 'audit/1 ü/2'
@@ -109,7 +109,7 @@
     _run(scenario)
 
 
-def test_names_of_all_pages_are_returned():
+def test_object_names_of_all_pages_are_returned():
     async def scenario(client, _):
         objects = client.object_store(StoreUse.AUDIT)
         names = tuple(f'a/{number:04}' for number in range(NAMES_MAX + 1))
@@ -121,7 +121,7 @@
     _run(scenario)
 
 
-def test_hosts_are_rows_and_other_rows_are_left_out():
+def test_host_list_skips_rows_that_are_no_hosts():
     async def scenario(client, store):
         store.put(HOSTS_TABLE, _HOST.address, dataclasses.asdict(_HOST))
         store.put(HOSTS_TABLE, 'odd', b'\xff')
@@ -131,11 +131,13 @@
     _run(scenario)
 
 
-def test_write_whose_answer_is_lost_may_have_taken_effect():
+def test_write_with_a_lost_answer_may_have_taken_effect():
     async def scenario(client, store):
         table = client.table(StoreUse.CALLS)
         store.lost_writes = 1
-        with pytest.raises(StoreUnavailableError, match='no answer'):
+        with pytest.raises(
+            StoreUnavailableError, match='call to the platform failed'
+        ):
             await table.write('a', b'1', expected=0)
         assert (await table.read('a')).body == b'1'
 
@@ -143,7 +145,7 @@
 
 
 @pytest.mark.parametrize('status', [429, 503])
-def test_store_that_refuses_is_unavailable(status):
+def test_error_status_of_the_store_is_unavailable(status):
     async def scenario(client, store):
         store.status = status
         with pytest.raises(StoreUnavailableError, match=f'status {status}'):
@@ -156,7 +158,9 @@
     async def check():
         settings = PlatformSettings(free_address(), timeout_ms=500)
         client = open_store(settings, Clock.from_system())
-        with pytest.raises(StoreUnavailableError, match='no answer'):
+        with pytest.raises(
+            StoreUnavailableError, match='call to the platform failed'
+        ):
             await client.hosts().hosts()
 
     asyncio.run(check())
