--- a/bergamotthread/connection/__init__.py
+++ b/bergamotthread/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection between processes."""
+"""Connections between processes, and servers and clients on them."""
--- a/bergamotthread/connection/address.py
+++ b/bergamotthread/connection/address.py
@@ -1,4 +1,4 @@
-"""Addresses of processes: an IP number and a port."""
+"""Addresses of processes: an IP address and a port."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class AddressError(BergamotError):
-    """Text is not an IP number and a port."""
+    """Text is not an IP address and a port."""
 
 
 @dataclass(frozen=True)
 class Address:
-    """IP number and port of one end of a connection."""
+    """IP address and port of one end of a connection."""
 
     ip: ipaddress.IPv4Address | ipaddress.IPv6Address
     port: int
 
     @classmethod
     def from_text(cls, text: str) -> Address:
-        """Return the address that `text` holds.
+        """Parse an address.
 
         Parameters
         ----------
@@ -34,7 +34,7 @@
         Raises
         ------
         AddressError
-            If the host part is no IP number or the port is out of range.
+            If the host part is not an IP address or the port is out of range.
         """
         host, separator, port = text.rpartition(':')
         if not separator:
@@ -43,12 +43,12 @@
 
     @property
     def is_loopback(self) -> bool:
-        """Return whether only this machine reaches the address."""
+        """Return whether the address is reachable only from this host."""
         return self.ip.is_loopback
 
     @property
     def is_ipv6(self) -> bool:
-        """Return whether the IP number is of version 6."""
+        """Return whether the IP address is of version 6."""
         return isinstance(self.ip, ipaddress.IPv6Address)
 
     def __str__(self) -> str:
--- a/bergamotthread/connection/body_limit.py
+++ b/bergamotthread/connection/body_limit.py
@@ -1,4 +1,4 @@
-"""Limits on the size, time and total memory of request bodies."""
+"""Limits on the size, arrival time and total memory of request bodies."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _DisconnectedError(Exception):
-    """The caller went away before the end of its body."""
+    """The caller disconnected before the end of its body."""
 
 
 @dataclass
@@ -36,9 +36,11 @@
     Parameters
     ----------
     app
-        Application that receives the body in one part.
+        Application that receives the body in one message.
     refuse
-        Stamps a refusal with a request id, records it and returns it.
+        Adds a request id to a refusal, records it and returns it.
+    held_bytes
+        Bytes of the bodies of all requests that are being read or served.
     """
 
     app: ASGIApp
@@ -142,7 +144,7 @@
 
 
 class _Body:
-    """Body of one request as far as it was read."""
+    """Body of one request, with the bytes received so far."""
 
     def __init__(self, receive: Receive) -> None:
         self.receive = receive
@@ -150,7 +152,7 @@
         self._is_taken = False
 
     async def replay(self) -> Message:
-        """Return the whole body once, then what comes after it."""
+        """Return the whole body as one message, then later messages."""
         if self._is_taken:
             return await self.receive()
         self._is_taken = True
@@ -162,9 +164,9 @@
 
 
 def _content_length(scope: Scope) -> int:
-    for name, text in scope['headers']:
-        if name == b'content-length' and text.isdigit():
-            return int(text)
+    for name, length in scope['headers']:
+        if name == b'content-length' and length.isdigit():
+            return int(length)
     return 0
 
 
--- a/bergamotthread/connection/curve.py
+++ b/bergamotthread/connection/curve.py
@@ -1,8 +1,8 @@
 """Authentication of peers by CURVE keys.
 
-Every process of a deployment holds the same key pair. While keys rotate, old
-and new pairs are in use together: a process accepts the public keys of both
-and tries the accepted keys in turn when it connects.
+All processes of a deployment have the same key pair. During a key rotation, the
+old and the new pair are both in use: a process accepts both public keys, and
+when it connects it tries the accepted server keys in turn.
 """
 
 from __future__ import annotations
@@ -30,7 +30,11 @@
     Parameters
     ----------
     accepted
-        Z85 text of the public keys that may connect.
+        Public keys, Z85-encoded, of the peers that may connect.
+    refused
+        Number of refused connections.
+    peer_ip
+        IP address of the peer being decided about, for log lines.
     """
 
     accepted: frozenset[str]
@@ -41,7 +45,7 @@
 
     @classmethod
     def from_settings(cls, keys: KeySettings, clock: Clock) -> CurveGate:
-        """Accept the own public key and those that the settings list."""
+        """Accept the process's own public key and those in the settings."""
         accepted = frozenset((keys.curve_public, *keys.curve_accepted))
         return cls(accepted=accepted, clock=clock)
 
@@ -54,7 +58,7 @@
         return False
 
     def refuse(self, reason: str) -> None:
-        """Count a refused peer and log it once an interval."""
+        """Count a refused peer; log each reason once per interval."""
         self.refused += 1
         now_ms = self.clock.now_ms()
         logged_ms = self.logged_ms_by_key.get(reason)
@@ -71,7 +75,7 @@
 
 
 class _GateAuthenticator(AsyncioAuthenticator):
-    """Tells the gate the IP number of the peer that it decides about."""
+    """Passes the IP address of the connecting peer to the gate."""
 
     def __init__(
         self,
@@ -92,7 +96,7 @@
     context: zmq.Context[zmq.Socket[bytes]],
     gate: CurveGate,
 ) -> AsyncioAuthenticator:
-    """Start to ask `gate` about each peer that connects to `context`."""
+    """Start an authenticator that asks `gate` about each connecting peer."""
     authenticator = _GateAuthenticator(context, gate)
     authenticator.start()
     authenticator.configure_curve_callback('*', credentials_provider=gate)
@@ -100,7 +104,7 @@
 
 
 def secure_server(socket: zmq.Socket[bytes], keys: KeySettings) -> None:
-    """Let only peers with an accepted key talk to a bound socket."""
+    """Set CURVE keys on a bound socket; only accepted peers may connect."""
     socket.curve_server = True
     socket.curve_publickey = keys.curve_public.encode()
     socket.curve_secretkey = keys.curve_secret.encode()
@@ -111,7 +115,13 @@
     keys: KeySettings,
     server_key: str,
 ) -> None:
-    """Let a connecting socket talk only to a holder of `server_key`."""
+    """Set CURVE keys on a connecting socket.
+
+    Parameters
+    ----------
+    server_key
+        Public key that the server must have.
+    """
     socket.curve_serverkey = server_key.encode()
     socket.curve_publickey = keys.curve_public.encode()
     socket.curve_secretkey = keys.curve_secret.encode()
--- a/bergamotthread/connection/detector.py
+++ b/bergamotthread/connection/detector.py
@@ -1,7 +1,8 @@
-"""Failure detection by silence, judged against a peer's own history.
+"""Failure detection by silence, with a threshold learned for each peer.
 
-The threshold follows the retransmission timer of RFC 6298: smoothed interval
-plus a multiple of its smoothed deviation, kept between two bounds.
+The threshold is computed like the retransmission timeout of RFC 6298: the
+smoothed interval between signs of life plus a multiple of its smoothed
+deviation, clamped between two bounds.
 """
 
 from __future__ import annotations
@@ -14,7 +15,17 @@
 
 @dataclass(frozen=True)
 class DetectorLimits:
-    """Bounds of the silence threshold, in milliseconds."""
+    """Bounds of the silence threshold.
+
+    Parameters
+    ----------
+    floor_ms, ceiling_ms
+        Lower and upper bound of the learned threshold.
+    deviations
+        Number of smoothed deviations above the smoothed interval.
+    initial_ms
+        Threshold before the first interval is known.
+    """
 
     floor_ms: float = 400
     ceiling_ms: float = 1500
@@ -32,7 +43,7 @@
 
 
 class SilenceDetector:
-    """Tells when a peer has been silent for too long."""
+    """Detects that a peer has been silent for too long."""
 
     def __init__(self, limits: DetectorLimits, now_ms: float) -> None:
         self._limits = limits
@@ -47,7 +58,7 @@
         return self._heard_ms
 
     def record(self, now_ms: float) -> None:
-        """Take in a sign of life."""
+        """Record a sign of life, and learn from the interval before it."""
         interval_ms = now_ms - self._heard_ms
         self._heard_ms = now_ms
         self._samples += 1
@@ -61,11 +72,11 @@
         self._deviation_ms += _DEVIATION_GAIN * spread_ms
 
     def restart(self, now_ms: float) -> None:
-        """Begin a new silence without a sample, keeping the history."""
+        """Restart the silence at `now_ms` without learning an interval."""
         self._heard_ms = now_ms
 
     def threshold_ms(self) -> float:
-        """Return the silence after which the peer is suspect."""
+        """Return the silence after which the peer is suspected."""
         limits = self._limits
         if not self._samples:
             return limits.initial_ms
--- a/bergamotthread/connection/engine_client.py
+++ b/bergamotthread/connection/engine_client.py
@@ -1,4 +1,4 @@
-"""Narrow interface to a model engine."""
+"""Interface to a model engine."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class GenerateRequest(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One attempt as the engine sees it.
+    """Request to run one attempt on an engine.
 
-    The engine continues after `prefix_tokens`; `max_tokens` counts them too.
+    The engine generates after `prefix_tokens`; `max_tokens` includes them.
     """
 
     request_id: str
@@ -26,7 +26,7 @@
 
 
 class EngineOutput(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Tokens that an engine produced; `finish` is set on the last output."""
+    """Tokens that an engine generated; `finish` is set on the last output."""
 
     tokens: tuple[str, ...] = ()
     finish: str = ''
@@ -37,7 +37,7 @@
 
 
 class EngineRefusedError(BergamotError):
-    """The engine answered and did not start the attempt."""
+    """The engine refused the attempt or was not reached; it did not run."""
 
 
 class EngineClient(abc.ABC):
@@ -54,12 +54,12 @@
         EngineLostError
             If the connection breaks or ends before the last output.
         EngineRefusedError
-            If the engine does not take the attempt.
+            If the engine refuses the attempt or is not reached.
         """
 
     @abc.abstractmethod
     async def load(self) -> LoadReport:
-        """Return the engine's newest load report.
+        """Return the engine's current load report.
 
         Raises
         ------
@@ -69,7 +69,10 @@
 
     @abc.abstractmethod
     async def order(self, action: str, pin: Pin, fence: int) -> bool:
-        """Order the engine to load, unload or change role.
+        """Order the engine to load or unload a model or to change its role.
 
-        Returns whether the engine accepted the order.
+        Returns
+        -------
+        bool
+            Whether the engine accepted the order.
         """
--- a/bergamotthread/connection/event_stream.py
+++ b/bergamotthread/connection/event_stream.py
@@ -1,4 +1,4 @@
-"""ASGI response that streams events and notices a caller that goes away."""
+"""ASGI response that streams events and stops if the caller disconnects."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     Parameters
     ----------
     events
-        The events, rendered.
+        Encoded events.
     on_close
-        Called once when the stream has ended or the caller has gone away.
+        Called once, when the stream has ended or the caller has disconnected.
     """
 
     media_type = 'text/event-stream'
@@ -43,7 +43,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Send the events until their end or the caller's."""
+        """Send the events until they end or the caller disconnects."""
         try:
             await first_completed(
                 self._send_all(send),
@@ -71,12 +71,12 @@
         await send({'type': 'http.response.body', 'body': b''})
 
 
-async def first_completed(*work: Coroutine[None, None, None]) -> None:
+async def first_completed(*coroutines: Coroutine[None, None, None]) -> None:
     """Run coroutines until one completes, then cancel the others.
 
-    An exception of a completed coroutine is raised.
+    An exception raised by a completed coroutine is propagated.
     """
-    tasks = [asyncio.create_task(one) for one in work]
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
         done, _ = await asyncio.wait(
             tasks,
@@ -90,7 +90,7 @@
 
 
 async def until_disconnected(receive: Receive) -> None:
-    """Return when the caller has closed the connection."""
+    """Wait until the caller has closed the connection."""
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
--- a/bergamotthread/connection/handshake.py
+++ b/bergamotthread/connection/handshake.py
@@ -1,4 +1,4 @@
-"""Watches the handshakes of a socket."""
+"""Monitor of the CURVE handshakes of a ZeroMQ socket."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 
 
 class HandshakeMonitor:
-    """Calls back with whether each handshake of one socket succeeded.
+    """Reports the outcome of each handshake of one socket.
 
     Parameters
     ----------
+    on_outcome
+        Called with whether the handshake succeeded.
     events
-        Kinds of outcome to report, as the library's event flags.
+        Outcomes to report, as event flags of ZeroMQ.
     """
 
     def __init__(
@@ -46,7 +48,7 @@
         socket: _Socket,
         on_outcome: Callable[[bool], None],
     ) -> HandshakeMonitor:
-        """Watch a connecting socket."""
+        """Monitor a connecting socket."""
         return cls(socket, on_outcome, _CLIENT_EVENTS)
 
     @classmethod
@@ -55,15 +57,15 @@
         socket: _Socket,
         on_outcome: Callable[[bool], None],
     ) -> HandshakeMonitor:
-        """Watch a bound socket for peers that fail before their key is read.
+        """Monitor a bound socket for peers that fail before their key is read.
 
-        The side that notices first closes the connection, so that a peer
-        without keys may show as a failure without detail.
+        The side that first notices a failure closes the connection, so a peer
+        without keys may be reported as a failure without detail.
         """
         return cls(socket, on_outcome, _FAILED)
 
     def close(self) -> None:
-        """Stop to watch; to be called before the socket is closed."""
+        """Stop monitoring; must be called before the socket is closed."""
         if not self._monitor.closed:
             self._loop.remove_reader(self._monitor.fileno())
             self._socket.disable_monitor()
--- a/bergamotthread/connection/http/__init__.py
+++ b/bergamotthread/connection/http/__init__.py
@@ -1,6 +1,6 @@
-"""Both sides of HTTP/1.1 on plain asyncio protocols.
+"""HTTP/1.1 server and client on plain asyncio protocols.
 
-A library server or client decides on its own when to retry, when to close and
-which bytes belong to an answer; here each of these is the product's decision.
-The parser is `httptools`.
+A server or client library decides by itself when to retry, when to close a
+connection and which bytes belong to an answer. A relay must control all of
+these, so only the parser (`httptools`) comes from a library.
 """
--- a/bergamotthread/connection/http/caller_connection.py
+++ b/bergamotthread/connection/http/caller_connection.py
@@ -1,8 +1,8 @@
 """Server side of HTTP/1.1: a caller's connection.
 
-Requests of one connection are answered one after the other. While one is
-being answered, further bytes stay unread in the parser's queue and then in the
-kernel.
+The requests of one connection are answered one after the other. Requests that
+arrive while another is being answered are queued. When the queue is full, the
+connection is no longer read and further bytes wait in the kernel.
 """
 
 from __future__ import annotations
@@ -26,15 +26,23 @@
 )
 
 _MS_PER_S = 1000
-# Requests of one connection that are read ahead of their answers.
+# Requests queued on one connection before it is no longer read.
 QUEUED_REQUESTS_MAX = 16
-# Bytes for a slow caller that wait in this process before its writer does.
+# Bytes buffered for a slow caller before `Exchange.writable` waits.
 _WRITE_BUFFER_BYTES = 65_536
 
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of requests and on the time of their arrival.
+
+    Parameters
+    ----------
+    header_timeout_ms
+        Time from the first byte of a request to its end.
+    idle_timeout_ms
+        Time that a connection stays open without a request.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -43,7 +51,7 @@
 
 
 class CallerServer(Protocol):
-    """What a caller's connection needs of its process."""
+    """Interface of the process that a caller's connection uses."""
 
     clock: Clock
     connections: set[CallerConnection]
@@ -54,14 +62,22 @@
 
     @property
     def is_draining(self) -> bool:
-        """Return whether kept connections are to be closed."""
+        """Return whether connections are closed after their next answer."""
 
     async def answer(self, exchange: Exchange) -> None:
         """Answer one request."""
 
 
 class Exchange:
-    """One request of a caller and the answer to it."""
+    """One request of a caller, with the methods that send its answer.
+
+    Attributes
+    ----------
+    has_head
+        Whether the head of the answer was sent.
+    is_ended
+        Whether the whole answer was sent, or the exchange aborted.
+    """
 
     def __init__(
         self,
@@ -79,7 +95,7 @@
         headers: Iterable[Header],
         body: bytes = b'',
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         fields = [*headers, *self._connection.connection_headers()]
         fields.append((b'content-length', b'%d' % len(body)))
         self.has_head = True
@@ -88,14 +104,14 @@
         self._connection.write(encode_head(status, fields) + payload)
 
     def start(self, status: int, headers: Iterable[Header]) -> None:
-        """Send the head of an answer whose body follows in parts."""
+        """Send the head of an answer whose body follows in chunks."""
         fields = [*headers, *self._connection.connection_headers()]
         fields.append((b'transfer-encoding', b'chunked'))
         self.has_head = True
         self._connection.write(encode_head(status, fields))
 
     def write(self, payload: bytes) -> None:
-        """Send a part of the body."""
+        """Send one chunk of the body."""
         self._connection.write(encode_chunk(payload))
 
     def finish(self) -> None:
@@ -104,17 +120,17 @@
         self._connection.write(LAST_CHUNK)
 
     def abort(self) -> None:
-        """Close the connection so that the answer cannot look whole."""
+        """Close the connection, so that the answer can't look complete."""
         self.is_ended = True
         self._connection.abort()
 
     async def writable(self) -> None:
-        """Wait while the caller reads more slowly than it is sent to."""
+        """Wait while the write buffer for a slow caller is full."""
         await self._connection.writable()
 
 
 class CallerConnection(asyncio.Protocol):
-    """Reads requests of one caller and hands them to the server in order."""
+    """Reads the requests of one caller; the server answers them in order."""
 
     def __init__(self, server: CallerServer) -> None:
         self.is_closed = False
@@ -135,14 +151,14 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to wait for the first request."""
+        """Register the connection and start the idle timeout."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
         self._wait(self._limits.idle_timeout_ms)
 
     def data_received(self, received: bytes) -> None:
-        """Parse what a caller sent."""
+        """Parse received bytes."""
         if self._bad_status:
             return
         if not self._in_message and self._task is None:
@@ -152,7 +168,7 @@
         except httptools.HttpParserUpgrade:
             self._reject(400)
         except httptools.HttpParserError as error:
-            logging.debug('request refused: %s', error)
+            logging.debug('invalid request refused: %s', error)
             self._reject(self._bad_status or 400)
         if self._bad_status:
             self._start_next()
@@ -164,7 +180,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the work for a caller that has gone."""
+        """Cancel the request of a caller that has disconnected."""
         self.is_closed = True
         self._server.connections.discard(self)
         self._cancel_timer()
@@ -173,12 +189,12 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads slowly."""
+        """Make `writable` wait until the write buffer has drained."""
         if self._writable is None:
             self._writable = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Wake whoever waits in `writable`."""
         waiter = self._writable
         self._writable = None
         if waiter is not None and not waiter.done():
@@ -192,17 +208,17 @@
         self._in_message = True
 
     def on_url(self, url: bytes) -> None:
-        """Take in a part of the target."""
+        """Append a part of the target."""
         self._target += url
         self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, payload: bytes) -> None:
-        """Take in one field."""
+        """Append one header field."""
         self._headers.append((name.lower(), payload))
         self._count_header_bytes(len(name) + len(payload))
 
     def on_headers_complete(self) -> None:
-        """Check what the head announces before the body is read."""
+        """Check the head before the body is read."""
         headers = dict(self._headers)
         expectation = headers.get(b'expect', b'').lower()
         hosts = [name for name, _ in self._headers if name == b'host']
@@ -215,14 +231,14 @@
             self._transport.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
     def on_body(self, payload: bytes) -> None:
-        """Take in a part of the body."""
+        """Append a part of the body."""
         self._body.append(payload)
         self._body_bytes += len(payload)
         if self._body_bytes > self._limits.body_bytes:
             self._fail(413)
 
     def on_message_complete(self) -> None:
-        """Queue a whole request."""
+        """Queue the complete request."""
         self._in_message = False
         request = CallerRequest(
             method=self._parser.get_method(),
@@ -244,7 +260,7 @@
         return self._task is None and not self._in_message
 
     def connection_headers(self) -> list[Header]:
-        """Return what the answer says about the connection."""
+        """Return the header fields of an answer about the connection."""
         if self._server.is_draining:
             self._closes_after = True
         if self._closes_after:
@@ -252,7 +268,7 @@
         return []
 
     def write(self, payload: bytes) -> None:
-        """Write unless the caller has gone."""
+        """Write unless the caller has disconnected."""
         if self._transport is not None and not self.is_closed:
             self._transport.write(payload)
 
@@ -262,7 +278,7 @@
             await asyncio.shield(self._writable)
 
     def abort(self) -> None:
-        """Close without sending what is buffered."""
+        """Close without sending buffered bytes."""
         if self._transport is not None:
             self._transport.abort()
 
--- a/bergamotthread/connection/http/fetch.py
+++ b/bergamotthread/connection/http/fetch.py
@@ -1,4 +1,4 @@
-"""One short call over a kept connection, answered as a whole."""
+"""One short call over a pooled connection, with a complete answer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """A short request."""
+    """Request of a short call."""
 
     method: bytes
     target: bytes
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetched:
-    """Status and body of an answer."""
+    """Status and body of the answer to a short call."""
 
     status: int
     body: bytes
@@ -43,17 +43,17 @@
     asked: Asked,
     timeout_ms: float,
 ) -> Fetched:
-    """Return the answer to a request.
+    """Send a request and return the answer.
 
     Parameters
     ----------
     timeout_ms
-        Longest silence of the other side.
+        Maximum time between two items of the answer, or before the first.
 
     Raises
     ------
     ConnectionError
-        If there is no whole answer in time.
+        If no complete answer arrives in time.
     """
     connection = await pool.acquire(address)
     host = (b'host', address.encode())
@@ -80,10 +80,12 @@
     while not isinstance(arrived, AnswerEnd):
         arrived = await connection.receive(timeout_ms)
         match arrived:
-            case AnswerHead(told):
-                status = told
+            case AnswerHead(answer_status):
+                status = answer_status
             case AnswerPart(part):
                 body.append(part)
             case AnswerLost() | None:
-                raise ConnectionError(f'{connection.address}: {arrived}')
+                raise ConnectionError(
+                    f'no complete answer from {connection.address}: {arrived}',
+                )
     return Fetched(status, b''.join(body))
--- a/bergamotthread/connection/http/messages.py
+++ b/bergamotthread/connection/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as both sides of a relay see them."""
+"""HTTP requests and answers, used on both sides of a relay."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 Header = tuple[bytes, bytes]
 
-# Fields that concern one connection only (RFC 9110, section 7.6.1).
+# Fields that apply to one connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -42,7 +42,7 @@
 
 
 class Framing(enum.Enum):
-    """How the end of a message body is told."""
+    """How the end of a message body is marked."""
 
     LENGTH = 'length'
     CHUNKED = 'chunked'
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """Whole request of a caller.
+    """Complete request of a caller.
 
     Parameters
     ----------
     target
         Path and query, unchanged.
     headers
-        Fields in their order, with names in lower case.
+        Fields in the order received, with names in lower case.
     received_ms
         Monotonic time at which the last byte was read.
     """
@@ -71,38 +71,38 @@
     received_ms: float
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the value of the first field of a name in lower case."""
+        """Return the first value of a field; `name` is in lower case."""
         return find_header(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and fields of an upstream's answer; names in lower case."""
+    """Status and fields of an upstream's answer; names are in lower case."""
 
     status: int
     headers: tuple[Header, ...]
     framing: Framing
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the value of the first field of a name in lower case."""
+        """Return the first value of a field; `name` is in lower case."""
         return find_header(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerPart:
-    """Bytes of an answer's body."""
+    """Part of an answer's body."""
 
     payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """The answer is whole."""
+    """End of a complete answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerLost:
-    """The connection ended, or went wrong, before the answer was whole."""
+    """The connection closed or failed before the answer was complete."""
 
     reason: str
 
@@ -111,7 +111,7 @@
 
 
 def find_header(headers: Iterable[Header], name: bytes) -> bytes | None:
-    """Return the value of the first field of a name in lower case."""
+    """Return the first value of a field; `name` is in lower case."""
     for field_name, payload in headers:
         if field_name == name:
             return payload
@@ -119,7 +119,7 @@
 
 
 def end_to_end(headers: Iterable[Header]) -> list[Header]:
-    """Return the fields that go on to the next hop, without the length."""
+    """Return the fields to forward to the next hop, without the length."""
     headers = tuple(headers)
     dropped = set(HOP_BY_HOP)
     dropped.add(_CONTENT_LENGTH)
@@ -137,7 +137,7 @@
     headers: Iterable[Header],
     body: bytes,
 ) -> bytes:
-    """Return the bytes of a request with a length where it has a body."""
+    """Encode a request, with `content-length` if it has a body."""
     parts = [method, b' ', target, b' HTTP/1.1\r\n']
     _add_headers(parts, headers)
     if body or method not in {b'GET', b'HEAD', b'DELETE'}:
@@ -148,7 +148,7 @@
 
 
 def encode_head(status: int, headers: Iterable[Header]) -> bytes:
-    """Return the bytes of an answer's status line and fields."""
+    """Encode the status line and the fields of an answer."""
     reason = _REASONS.get(status, b'Status')
     parts = [b'HTTP/1.1 %d ' % status, reason, b'\r\n']
     _add_headers(parts, headers)
@@ -157,7 +157,7 @@
 
 
 def encode_chunk(payload: bytes) -> bytes:
-    """Return one chunk of a body in chunks."""
+    """Encode one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(payload), payload)
 
 
--- a/bergamotthread/connection/http/upstream_connection.py
+++ b/bergamotthread/connection/http/upstream_connection.py
@@ -1,8 +1,8 @@
 """Client side of HTTP/1.1: a connection to an upstream.
 
-One request is sent at a time. Bytes beyond the whole answer make the
-connection unfit for another request; an answer that echoes another request's
-identifier is skipped.
+One request is sent at a time. Bytes after the complete answer make the
+connection unusable for another request. An answer that echoes the identifier
+of another request is skipped.
 """
 
 from __future__ import annotations
@@ -25,12 +25,19 @@
 )
 
 _MS_PER_S = 1000
-# Bytes of an answer that wait for its reader before the socket is left unread.
+# Bytes of an answer that are buffered before the socket is no longer read.
 BUFFERED_BYTES_MAX = 65_536
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """Sends requests to one address and yields the items of the answers."""
+    """Sends requests to one address and queues the items of their answers.
+
+    Parameters
+    ----------
+    echo_header
+        Field in lower case in which an answer repeats its request's
+        identifier.
+    """
 
     def __init__(self, address: str, clock: Clock, echo_header: bytes) -> None:
         self.address = address
@@ -46,7 +53,7 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection into use."""
+        """Mark the connection as open."""
         self._transport = cast(asyncio.Transport, transport)
         self.is_open = True
 
@@ -59,37 +66,37 @@
         try:
             self._parser.feed_data(received)
         except httptools.HttpParserUpgrade:
-            self._lose('the upstream changed the protocol')
+            self._lose('the upstream switched to another protocol')
         except httptools.HttpParserError as error:
-            self._lose(f'bytes that are no answer: {error}')
+            self._lose(f'invalid HTTP response: {error}')
 
     def eof_received(self) -> bool:
-        """End an answer that has no other end."""
+        """Complete an answer whose end is marked by the close."""
         ends_here = self._has_head and self._framing is Framing.CLOSE
         if self._is_waiting and ends_here and not self._is_skipping:
             self._finish()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the reader of an unfinished answer."""
+        """Report the loss of an incomplete answer to its reader."""
         self.is_open = False
         if self._is_waiting:
-            self._lose(f'connection ended: {exc or "closed by the upstream"}')
+            self._lose(f'connection closed: {exc or "by the upstream"}')
 
     # callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Start an answer, or note bytes beyond the whole answer."""
+        """Start an answer; without a request, make the connection unusable."""
         self._headers: list[Header] = []
         if not self._is_waiting:
             self._is_spoiled = True
 
     def on_header(self, name: bytes, payload: bytes) -> None:
-        """Take in one field."""
+        """Append one header field."""
         self._headers.append((name.lower(), payload))
 
     def on_headers_complete(self) -> None:
-        """Yield the head unless the answer belongs to another request."""
+        """Queue the head unless the answer belongs to another request."""
         status = self._parser.get_status_code()
         if not self._is_waiting or status < 200:
             return
@@ -99,14 +106,14 @@
         self._framing = _framing(headers)
         if self._is_skipping:
             if self._framing is Framing.CLOSE:
-                self._lose('an answer to another request')
+                self._lose('answer to another request, ended by a close')
             return
         self._note_keep_alive(headers)
         self._has_head = True
         self._put(AnswerHead(status, tuple(self._headers), self._framing))
 
     def on_body(self, payload: bytes) -> None:
-        """Yield a part of the body."""
+        """Queue a part of the body."""
         if not self._is_waiting or self._is_skipping or not self._has_head:
             return
         self._buffered += len(payload)
@@ -115,7 +122,7 @@
         self._put(AnswerPart(payload))
 
     def on_message_complete(self) -> None:
-        """Yield the end of the answer."""
+        """Queue the end of the answer."""
         if self._is_skipping:
             self._is_skipping = False
             return
@@ -125,7 +132,13 @@
     # for attempts
 
     def send(self, encoded: bytes, request_id: bytes) -> None:
-        """Send a whole request and start to wait for its answer."""
+        """Send a complete request and expect its answer.
+
+        Raises
+        ------
+        ConnectionError
+            If the connection is closed.
+        """
         if self._transport is None or not self.is_open:
             raise ConnectionError(f'connection to {self.address} is closed')
         self._reset()
@@ -134,7 +147,7 @@
         self._transport.write(encoded)
 
     async def receive(self, timeout_ms: float) -> AnswerItem | None:
-        """Return the next item of the answer, or none in time."""
+        """Return the next item of the answer, or None after `timeout_ms`."""
         if not self._arrived:
             await self._wait(timeout_ms)
         if not self._arrived:
@@ -153,13 +166,13 @@
 
     @property
     def is_writing(self) -> bool:
-        """Return whether a part of the request has not left this process."""
+        """Return whether a part of the request is still buffered here."""
         return bool(
             self._transport and self._transport.get_write_buffer_size(),
         )
 
     def close(self) -> None:
-        """Close at once; the upstream sees that the caller has gone."""
+        """Abort the connection; the upstream notices that the caller left."""
         self._is_waiting = False
         if self._transport is not None:
             self._transport.abort()
--- a/bergamotthread/connection/http/upstream_pool.py
+++ b/bergamotthread/connection/http/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to upstreams, by address."""
+"""Pool of connections to upstreams, by address."""
 
 from __future__ import annotations
 
@@ -13,30 +13,34 @@
 )
 
 _MS_PER_S = 1000
-# Opening takes one round trip, 60 ms between regions; a lost packet is sent
-# again only after a second.
+# Opening a connection takes one round trip, 60 ms between regions; a lost
+# packet is sent again only after a second.
 CONNECT_TIMEOUT_MS = 350
-# Time before the upstream's own idle timeout at which a connection is dropped.
+# A connection is closed this long before the upstream's own idle timeout.
 IDLE_MARGIN_MS = 700
-# Idle time after which a connection is dropped where no timeout was told.
+# Maximum idle time of a connection, also if the upstream announces more.
 IDLE_MAX_MS = 4000
 KEPT_PER_ADDRESS_MAX = 32
-# Unacknowledged bytes break a connection after this time (Linux).
+# The kernel closes a connection whose bytes are not acknowledged in this time
+# (Linux).
 TCP_USER_TIMEOUT_MS = 5000
 
 
 class ConnectFailedError(ConnectionError):
-    """No connection was made, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
 
 @dataclass
 class UpstreamPool:
-    """Opens connections and keeps those that may serve another request.
+    """Opens connections and keeps idle ones for further requests.
 
     Parameters
     ----------
     echo_header
-        Field in lower case by which an answer names its request.
+        Field in lower case in which an answer repeats its request's
+        identifier.
+    opened
+        Number of attempts to open a connection.
     """
 
     clock: Clock
@@ -51,7 +55,12 @@
         address: str,
         idle_max_ms: float = IDLE_MAX_MS,
     ) -> UpstreamConnection:
-        """Return a kept connection, or open one.
+        """Return an idle connection, or open a new one.
+
+        Parameters
+        ----------
+        idle_max_ms
+            Maximum idle time of a connection to be used again.
 
         Raises
         ------
@@ -67,7 +76,7 @@
         return await self._open(address)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection if it may serve another request."""
+        """Keep a connection if it is reusable; otherwise close it."""
         if not connection.is_reusable or connection.is_writing:
             connection.close()
             return
@@ -77,7 +86,7 @@
             idle.popleft().close()
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to an upstream that has gone."""
+        """Close the idle connections to an address."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
 
@@ -87,9 +96,13 @@
             self.forget(address)
 
     def close_stale(self) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that have been idle for too long."""
         for address, idle in list(self._idle_by_address.items()):
-            kept = deque(one for one in idle if self._keep_or_close(one))
+            kept = deque(
+                connection
+                for connection in idle
+                if self._keep_or_close(connection)
+            )
             if kept:
                 self._idle_by_address[address] = kept
             else:
@@ -108,8 +121,8 @@
     ) -> bool:
         limit_ms = idle_max_ms
         if connection.idle_timeout_ms is not None:
-            told_ms = connection.idle_timeout_ms - IDLE_MARGIN_MS
-            limit_ms = min(told_ms, idle_max_ms)
+            announced_ms = connection.idle_timeout_ms - IDLE_MARGIN_MS
+            limit_ms = min(announced_ms, idle_max_ms)
         idle_ms = self.clock.now_ms() - connection.last_heard_ms
         return connection.is_reusable and idle_ms < limit_ms
 
@@ -137,9 +150,9 @@
 
 
 def _set_options(transport: asyncio.Transport) -> None:
-    opened = transport.get_extra_info('socket')
-    if opened is not None:
-        opened.setsockopt(
+    tcp_socket = transport.get_extra_info('socket')
+    if tcp_socket is not None:
+        tcp_socket.setsockopt(
             socket.IPPROTO_TCP,
             socket.TCP_USER_TIMEOUT,
             TCP_USER_TIMEOUT_MS,
--- a/bergamotthread/connection/http_engine.py
+++ b/bergamotthread/connection/http_engine.py
@@ -42,7 +42,7 @@
 
 
 class HttpEngineClient(EngineClient):
-    """Engine at an IP number and port.
+    """Engine at an IP address and port.
 
     `POST /generate` streams one `EngineOutput` in JSON for each event;
     `GET /load` returns a `LoadReport`; `POST /orders` answers 200 or 409.
@@ -59,8 +59,8 @@
     ) -> AsyncIterator[EngineOutput]:
         """Yield the output of the engine's event stream.
 
-        Each stream has a connection of its own, since a kept one may lead to
-        an earlier process of the engine.
+        Each stream opens its own connection, because a kept connection may
+        lead to an earlier process of the engine.
         """
         async with _http_client(STREAM_CONNECTIONS) as client:
             async for output in self._stream(client, request):
@@ -76,7 +76,7 @@
             raise self._lost(error) from error
 
     async def order(self, action: str, pin: Pin, fence: int) -> bool:
-        """Pass an order on; an engine that refuses it answers 409."""
+        """Send an order; an engine that refuses it answers 409."""
         order = msgspec.json.encode(OrderRequest(action, pin, fence))
         try:
             response = await self._client.post(
@@ -104,7 +104,7 @@
         finally:
             await response.aclose()
         if not finished:
-            raise self._lost('stream ended without a finish')
+            raise self._lost('stream ended before the last output')
 
     async def _open(
         self,
@@ -120,7 +120,7 @@
             )
         except UNREACHED_ERRORS as error:
             raise EngineRefusedError(
-                f'no connection: {error!r}',
+                f'cannot connect to engine: {error!r}',
                 step=Step.DISPATCH,
                 peer=self._address,
             ) from error
@@ -129,7 +129,7 @@
         if response.status_code != HTTPStatus.OK:
             await response.aclose()
             raise EngineRefusedError(
-                f'engine answered {response.status_code}',
+                f'engine answered status {response.status_code}, expected 200',
                 step=Step.DISPATCH,
                 peer=self._address,
             )
@@ -153,7 +153,10 @@
 
 
 def _http_client(connections: int) -> HTTPClient:
-    """Return a client; its pool is built whole, so it is kept small."""
+    """Return a client with a pool of `connections`.
+
+    The pool creates all its connections at once, so it is kept small.
+    """
     timeouts = Timeouts(
         sock_connect=CONNECT_TIMEOUT_S,
         sock_read=None,
--- a/bergamotthread/connection/http_limits.py
+++ b/bergamotthread/connection/http_limits.py
@@ -1,4 +1,4 @@
-"""HTTP server protocol with limits on the size and time of headers."""
+"""HTTP server protocol that limits the size and arrival time of headers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HttpConfig(uvicorn.Config):
-    """Configuration of the HTTP server with the limits of its protocol."""
+    """Server configuration that carries the limits for the protocol."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
 
 
 class _HeaderProblem(msgspec.Struct, frozen=True):
-    """Problem JSON for headers that are too large to be read."""
+    """Problem JSON for a request whose header is too large."""
 
     detail: str
     type: str = f'urn:bergamotthread:refusal:{ReasonCode.TOO_LARGE}'
@@ -48,12 +48,12 @@
 
 
 class LimitedHttpProtocol(HttpToolsProtocol):
-    """Refuses large headers and closes connections that are slow with them.
+    """Refuses large headers and closes connections whose headers are slow.
 
-    `data_received` reads at most one chunk of the event loop beyond the
-    limit, so that the memory of a connection is bounded. What a caller still
-    sends of a body that was already answered is discarded, up to a limit, so
-    that the answer reaches callers that read only after they have sent all.
+    At most one chunk of the event loop is read beyond the size limit, which
+    bounds the memory of a connection. If a request is answered before the end
+    of its body, the rest of the body is discarded, up to a limit, so that the
+    answer reaches callers that read only after they have sent everything.
     """
 
     def __init__(self, config: HttpConfig, **options: Any) -> None:
@@ -71,17 +71,17 @@
         self,
         transport: asyncio.Transport,
     ) -> None:
-        """Start to wait for the first header."""
+        """Start the time limit for the first header."""
         super().connection_made(transport)
         self._start_timer(self._limits.header_timeout_ms)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop to wait."""
+        """Stop the time limit."""
         self._stop_timer()
         super().connection_lost(exc)
 
     def data_received(self, chunk: bytes) -> None:
-        """Parse a chunk unless the header has grown too large."""
+        """Parse a chunk unless the request was refused."""
         if self._is_refused:
             return
         self._raw_bytes += len(chunk)
@@ -94,7 +94,7 @@
             self._start_timer(self._limits.header_timeout_ms)
 
     def on_message_begin(self) -> None:
-        """Start to count the header of a request."""
+        """Start counting the header bytes of a request."""
         super().on_message_begin()
         self._reads_header = True
         self._raw_bytes = 0
@@ -102,24 +102,24 @@
         self._discarded_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Count and take a part of the URL."""
+        """Count and process a part of the URL."""
         self._count(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Count and take one header field."""
+        """Count and process one header field."""
         self._count(len(name) + len(text) + _HEADER_OVERHEAD_BYTES)
         super().on_header(name, text)
 
     def on_headers_complete(self) -> None:
-        """Hand the request on unless its header is too large."""
+        """Start the request unless its header is too large."""
         self._reads_header = False
         self._stop_timer()
         if not self._is_refused:
             super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body unless the request is answered."""
+        """Process a part of the body; discard it after the answer."""
         if self._is_refused:
             return
         if self.cycle.response_complete:
--- a/bergamotthread/connection/http_server.py
+++ b/bergamotthread/connection/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server on the process's own loop, without signal handling."""
+"""HTTP server on the process's event loop, without signal handling."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HttpServer(uvicorn.Server):
-    """Uvicorn server that leaves signals to the process.
+    """Uvicorn server that does not handle signals.
 
     Raises
     ------
@@ -22,11 +22,11 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture no signals."""
+        """Do nothing; the process handles signals itself."""
         yield
 
     async def start(self) -> None:
-        """Serve in the background; return when the address is bound."""
+        """Serve in a background task; return once the address is bound."""
         self._task = asyncio.create_task(self.serve())
         while not self.started:
             if self._task.done():
@@ -47,6 +47,6 @@
         await self._task
 
     async def abort(self) -> None:
-        """Stop listening and break open connections."""
+        """Stop listening and cut open connections."""
         self.force_exit = True
         await self.stop()
--- a/bergamotthread/connection/http_service.py
+++ b/bergamotthread/connection/http_service.py
@@ -1,8 +1,8 @@
-"""Plain service over HTTP.
+"""HTTP client of a plain service.
 
-The HTTP library repeats a request of an idempotent method by itself when a
-kept connection drops. A call by `PUT` or `DELETE` that may not be repeated
-would then run twice, so each call has a client and a connection of its own.
+The HTTP library retries a request with an idempotent method by itself when a
+kept connection drops. A `PUT` or `DELETE` call that must not be retried could
+then run twice, so each call uses its own client and connection.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class HttpServiceClient(ServiceClient):
-    """Plain service at an IP number and port."""
+    """Plain service at an IP address and port."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -52,19 +52,19 @@
             return await self._call(request)
         except UNREACHED_ERRORS as error:
             raise ServiceNotReachedError(
-                f'no connection: {error!r}',
+                f'cannot connect to service: {error!r}',
                 step=Step.DISPATCH,
                 peer=self._address,
             ) from error
         except _LOST as error:
             raise ServiceLostError(
-                f'no answer: {error!r}',
+                f'no complete answer from service: {error!r}',
                 step=Step.DISPATCH,
                 peer=self._address,
             ) from error
 
     async def close(self) -> None:
-        """Close nothing, since no connection outlives its call."""
+        """Do nothing; every call closes its own connection."""
 
     async def _call(self, request: ServiceRequest) -> ServiceAnswer:
         async with HTTPClient() as client:
@@ -75,7 +75,7 @@
         client: HTTPClient,
         request: ServiceRequest,
     ) -> ServiceAnswer:
-        answer_s = request.remaining_ms / _MS_PER_S
+        remaining_s = request.remaining_ms / _MS_PER_S
         response: HttpResponse = await client.request(
             f'http://{self._address}{request.path}',
             request.method,
@@ -83,9 +83,9 @@
             data=request.body,
             timeouts=Timeouts(
                 sock_connect=CONNECT_TIMEOUT_S,
-                sock_read=answer_s,
-                pool_acquire=answer_s,
-                request_timeout=answer_s,
+                sock_read=remaining_s,
+                pool_acquire=remaining_s,
+                request_timeout=remaining_s,
             ),
             max_decompressed_size=ANSWER_LIMIT_BYTES,
         )
@@ -99,7 +99,8 @@
         body = await response.content()
         if len(body) > ANSWER_LIMIT_BYTES:
             raise ServiceLostError(
-                f'answer of {len(body)} bytes, at most {ANSWER_LIMIT_BYTES}',
+                f'answer of {len(body)} bytes, '
+                f'expected at most {ANSWER_LIMIT_BYTES}',
                 step=Step.DISPATCH,
                 peer=self._address,
             )
@@ -110,7 +111,7 @@
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
-        (name, text)
-        for name, text in headers
+        (name, field_value)
+        for name, field_value in headers
         if name.lower() not in _HOP_HEADERS
     )
--- a/bergamotthread/connection/outgoing.py
+++ b/bergamotthread/connection/outgoing.py
@@ -1,4 +1,4 @@
-"""The sending socket of one peer."""
+"""Socket that sends messages to one peer."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 SEND_QUEUE_MESSAGES = 2000
 RECONNECT_MS = 50
-# An entry that restarts needs its agents' output within the 3 s for a
-# resumption; 500 ms costs 0.2 KB/s for each peer that is away.
+# A restarted entry must receive its agents' output within the 3 s allowed for a
+# resume. Reconnecting every 500 ms costs 0.2 KB/s for each unreachable peer.
 RECONNECT_MAX_MS = 500
 MAX_DOUBLINGS = 8
 
@@ -26,9 +26,9 @@
 class Outgoing:
     """Connects to one peer and queues messages for it.
 
-    The library does not connect again after a failed handshake, so this class
-    does, with the next accepted server key and after a delay that doubles;
-    messages that waited for that handshake are lost.
+    ZeroMQ does not reconnect after a failed handshake, so this class does,
+    with the next accepted server key and after a delay that doubles each time.
+    Messages that were queued for the failed handshake are lost.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._connect()
 
     def send(self, encoded: bytes) -> None:
-        """Queue bytes.
+        """Queue an encoded message.
 
         Raises
         ------
@@ -66,7 +66,7 @@
         self._socket.send(encoded, zmq.NOBLOCK)
 
     def close(self) -> None:
-        """Close and drop what is queued."""
+        """Close the socket and drop queued messages."""
         if self._reconnecting is not None:
             self._reconnecting.cancel()
         self._monitor.close()
--- a/bergamotthread/connection/peer_histories.py
+++ b/bergamotthread/connection/peer_histories.py
@@ -1,4 +1,4 @@
-"""Signs of life and incarnations of the peers of a process."""
+"""Failure detectors and incarnations of the peers of a process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PeerHistories:
-    """Silence detectors and newest incarnations by address."""
+    """Silence detector and newest incarnation of each peer, by address."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -15,22 +15,22 @@
         self._incarnations_by_address: dict[str, int] = {}
 
     def record(self, address: str, incarnation: int) -> bool:
-        """Take in a sign of life.
+        """Record a sign of life.
 
         Returns
         -------
         bool
-            Whether it is the first from a newer process at the address.
+            Whether it is the first one of a newer process at the address.
         """
         self._detector(address).record(self._clock.now_ms())
-        known = self._incarnations_by_address.get(address, 0)
-        if incarnation <= known:
+        newest = self._incarnations_by_address.get(address, 0)
+        if incarnation <= newest:
             return False
         self._incarnations_by_address[address] = incarnation
         return True
 
     def restart(self, address: str) -> None:
-        """Begin to expect signs of life from now on."""
+        """Restart the silence of a peer now, keeping its history."""
         self._detector(address).restart(self._clock.now_ms())
 
     def is_suspect(self, address: str) -> bool:
--- a/bergamotthread/connection/service_client.py
+++ b/bergamotthread/connection/service_client.py
@@ -1,4 +1,4 @@
-"""Interface to the plain service beside an agent."""
+"""Interface to the plain service that an agent calls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 @dataclass(frozen=True)
 class ServiceRequest:
-    """One call of a plain service; `remaining_ms` limits its answer."""
+    """One call of a plain service.
+
+    Parameters
+    ----------
+    remaining_ms
+        Time within which the answer must be complete.
+    """
 
     method: str
     path: str
@@ -37,7 +43,7 @@
 
 
 class ServiceClient(abc.ABC):
-    """Sends each call at most once."""
+    """Client of a plain service; sends each call at most once."""
 
     @abc.abstractmethod
     async def call(self, request: ServiceRequest) -> ServiceAnswer:
@@ -48,7 +54,7 @@
         ServiceNotReachedError
             If no byte of the call reached the service.
         ServiceLostError
-            If there is no whole answer.
+            If no complete answer arrives; the call may have run.
         """
 
     @abc.abstractmethod
--- a/bergamotthread/connection/socket_options.py
+++ b/bergamotthread/connection/socket_options.py
@@ -1,4 +1,4 @@
-"""Options that sending and receiving sockets share."""
+"""Options common to sending and receiving sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def set_common_options(socket: zmq.Socket[bytes], address: Address) -> None:
-    """Drop unsent messages on close and notice a dead TCP peer."""
+    """Drop unsent messages on close; detect dead peers by heartbeats."""
     socket.linger = 0
     socket.ipv6 = address.is_ipv6
     socket.heartbeat_ivl = HEARTBEAT_INTERVAL_MS
--- a/bergamotthread/connection/transport.py
+++ b/bergamotthread/connection/transport.py
@@ -1,4 +1,4 @@
-"""Narrow interface through which processes exchange messages."""
+"""Interface through which processes exchange messages."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Transport(abc.ABC):
-    """Sends messages to addresses and hands received ones to a receiver.
+    """Sends messages to addresses and passes received ones to a callback.
 
     Delivery is not guaranteed: a message may be lost, late or out of order.
-    `receiver` is called on the loop's thread and must not block.
+    The callback runs on the event loop's thread and must not block.
     """
 
     address: str
@@ -22,11 +22,11 @@
 
     @abc.abstractmethod
     def send(self, peer: str, message: Message) -> None:
-        """Queue a message for `peer` (IP number and port); never blocks."""
+        """Queue a message for `peer` (IP address and port); never blocks."""
 
     @abc.abstractmethod
     def start(self, receiver: Receiver) -> None:
-        """Start to hand received envelopes to `receiver`."""
+        """Start passing received envelopes to `receiver`."""
 
     @abc.abstractmethod
     def close(self) -> None:
--- a/bergamotthread/connection/zmq_transport.py
+++ b/bergamotthread/connection/zmq_transport.py
@@ -1,7 +1,7 @@
-"""Transport over TCP by ZeroMQ.
+"""Transport over TCP with ZeroMQ.
 
-One PULL socket receives from all peers; one PUSH socket for each peer sends.
-No socket is used in both directions, so each has a single wake-up source.
+One PULL socket receives from all peers, and one PUSH socket per peer sends. No
+socket is used in both directions, so each has a single source of wake-ups.
 """
 
 from __future__ import annotations
@@ -45,7 +45,15 @@
 
 @dataclass
 class TransportCounters:
-    """Counts since the start of the transport."""
+    """Counts since the start of the transport.
+
+    Parameters
+    ----------
+    undecodable
+        Received messages that could not be decoded.
+    dropped
+        Messages that could not be queued.
+    """
 
     sent: int = 0
     received: int = 0
@@ -55,7 +63,7 @@
     dropped_by_peer: dict[str, int] = field(default_factory=dict)
 
     def count_drop(self, peer: str) -> None:
-        """Count a message for `peer` that was not queued."""
+        """Count a message for `peer` that could not be queued."""
         self.dropped += 1
         if len(self.dropped_by_peer) >= MAX_DROP_COUNTERS:
             self.dropped_by_peer.clear()
@@ -64,10 +72,10 @@
 
 
 class ZmqTransport(Transport):
-    """Exchanges messages with peers over TCP; needs a running loop.
+    """Exchanges messages with peers over TCP; needs a running event loop.
 
-    A message is dropped and counted where the queue of its peer is full.
-    Messages queued for a peer that is away are sent when it is back.
+    A message is dropped and counted if the queue of its peer is full.
+    Messages queued for an unreachable peer are sent once it is back.
     """
 
     def __init__(
@@ -97,7 +105,7 @@
         keys: KeySettings,
         clock: Clock,
     ) -> ZmqTransport:
-        """Bind the address of `place`; messages wait until `start`."""
+        """Bind the address of `place`; received messages wait for `start`."""
         return cls(Address.from_text(place.address), keys, clock)
 
     @property
@@ -111,7 +119,7 @@
         return self.gate.refused
 
     def send(self, peer: str, message: Message) -> None:
-        """Queue a message for `peer` (IP number and port); never blocks."""
+        """Queue a message for `peer` (IP address and port); never blocks."""
         if self._context.closed:
             return
         envelope = Envelope(self.address, self.incarnation, message)
@@ -124,7 +132,7 @@
             self.counters.sent += 1
 
     def start(self, receiver: Receiver) -> None:
-        """Start to hand received envelopes to `receiver`."""
+        """Start passing received envelopes to `receiver`."""
         self._receiver = receiver
         loop = asyncio.get_running_loop()
         loop.add_reader(self._incoming.fileno(), self._drain)
@@ -177,7 +185,7 @@
 
     def _refuse(self, succeeded: bool) -> None:
         self.gate.peer_ip = ''
-        self.gate.refuse('no complete CURVE handshake with a key of ours')
+        self.gate.refuse('CURVE handshake with an accepted key not completed')
 
     def _outgoing(self, peer: str) -> Outgoing:
         outgoing = self._outgoing_by_peer.get(peer)
@@ -195,7 +203,11 @@
     def _drop(self, peer: str, error: Exception) -> None:
         self.counters.count_drop(peer)
         if self.counters.dropped_by_peer[peer] == 1:
-            logging.warning('messages for %s are dropped: %s', peer, error)
+            logging.warning(
+                'cannot queue messages for %s; they are dropped: %s',
+                peer,
+                error,
+            )
 
     def _drain(self) -> None:
         for _ in range(MESSAGES_PER_WAKE_UP):
@@ -217,14 +229,14 @@
             self.counters.undecodable += 1
             logging.warning('%s', error)
         except Exception:
-            logging.exception('receiver failed')
+            logging.exception('receiver failed; message dropped')
 
     async def _close_idle(self) -> None:
         while True:
             await self._clock.sleep_ms(IDLE_TIMEOUT_MS / 2)
-            limit_ms = self._clock.now_ms() - IDLE_TIMEOUT_MS
+            oldest_used_ms = self._clock.now_ms() - IDLE_TIMEOUT_MS
             for peer, outgoing in tuple(self._outgoing_by_peer.items()):
-                if outgoing.used_ms < limit_ms:
+                if outgoing.used_ms < oldest_used_ms:
                     self._outgoing_by_peer.pop(peer)
                     outgoing.close()
 
