--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -1,4 +1,4 @@
-"""A deployment of the users' platform in memory and in virtual time."""
+"""Deployment of the users' platform in memory and in virtual time."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
 
 def settings(host: str = 'edge-a-1', zone: str = 'a-1', number: int = 1):
     """Return the settings of an entry, decoded from the platform's file."""
-    told = entry_settings(host, f'10.1.0.{number}', zone, STORE)
-    return PlatformSettings.from_json(json.dumps(told).encode())
+    settings_file = entry_settings(host, f'10.1.0.{number}', zone, STORE)
+    return PlatformSettings.from_json(json.dumps(settings_file).encode())
 
 
 class ListLog(DecisionLog):
-    """Log whose lines a test reads."""
+    """Decision log that keeps its events in a list."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__(clock)
@@ -81,7 +81,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got."""
+    """Answer as a caller received it."""
 
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)
@@ -103,7 +103,7 @@
         return max((after - before for before, after in gaps), default=0)
 
     def take(self, arrived: AnswerItem | None, now_ms: float) -> bool:
-        """Take in an item; return whether more may come."""
+        """Add an item; return whether more may follow."""
         match arrived:
             case AnswerHead(status, headers):
                 self.status = status
@@ -118,7 +118,7 @@
 
 
 class Deployment:
-    """A store, runners in three zones and entries, all in memory."""
+    """Store, runners in three zones and entries, all in memory."""
 
     def __init__(self) -> None:
         self.net = memory_network()
@@ -136,11 +136,11 @@
         cls,
         models: int = 3,
         plains: int = 2,
-        **more: object,
+        **manifest_fields: object,
     ) -> Deployment:
         deployment = cls()
         await deployment.store.listen(STORE)
-        deployment.store.put('op', 'config', manifest(**more))
+        deployment.store.put('op', 'config', manifest(**manifest_fields))
         zones = list(ZONES)
         for number in range(models):
             zone = zones[number % len(zones)]
@@ -170,11 +170,15 @@
         self.store.put('servers', instance, row)
         return runner
 
-    async def add_entry(self, told: PlatformSettings) -> PlatformEntry:
+    async def add_entry(
+        self, platform_settings: PlatformSettings
+    ) -> PlatformEntry:
         import random
 
         log = ListLog(self.clock)
-        entry = PlatformEntry(told, self.clock, log, random.Random(7))
+        entry = PlatformEntry(
+            platform_settings, self.clock, log, random.Random(7)
+        )
         self.entries.append(entry)
         self.logs.append(log)
         self.tasks.append(asyncio.create_task(entry.run()))
@@ -192,19 +196,19 @@
         self,
         path: str,
         front: str = '10.1.0.1:8000',
-        **more: object,
+        **options: object,
     ) -> Answer:
-        """Send one request on a new connection and read the answer."""
+        """Send a request on a new connection and read its answer."""
         connection = await self.connect(front)
-        connection.send(self.request(path, **more), b'')
+        connection.send(self.request(path, **options), b'')
         return await self.read(connection)
 
     async def read(self, connection: UpstreamConnection) -> Answer:
         answer = Answer()
-        more = True
-        while more:
+        has_more = True
+        while has_more:
             arrived = await connection.receive(40_000)
-            more = answer.take(arrived, self.clock.now_ms())
+            has_more = answer.take(arrived, self.clock.now_ms())
         return answer
 
     def request(
@@ -241,4 +245,6 @@
         return sum(len(runner.seen) for runner in runners)
 
     def events(self, name: str, entry: int = 0) -> list[dict[str, object]]:
-        return [told for kind, told in self.logs[entry].events if kind == name]
+        return [
+            fields for event, fields in self.logs[entry].events if event == name
+        ]
--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""Requests of callers: framing, limits, order, the caller's going away."""
+"""Caller connections: framing, limits, order of answers, disconnects."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Echo:
-    """Server that answers with the method, target and body it got."""
+    """Server that answers with the method, target and body it received."""
 
     def __init__(self, limits: CallerLimits | None = None) -> None:
         self.clock = Clock.from_loop(asyncio.get_running_loop())
@@ -44,18 +44,18 @@
 
     async def answer(self, exchange: Exchange) -> None:
         request = exchange.request
-        told = b'%b %b %b' % (request.method, request.target, request.body)
-        self.got.append(told)
+        echo = b'%b %b %b' % (request.method, request.target, request.body)
+        self.got.append(echo)
         try:
             await self.clock.sleep_ms(self.work_ms)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        exchange.respond(200, (), told)
+        exchange.respond(200, (), echo)
 
 
 class Caller(asyncio.Protocol):
-    """Keeps all bytes that arrive."""
+    """Caller that keeps all received bytes."""
 
     def __init__(self) -> None:
         self.received = b''
@@ -155,14 +155,14 @@
         (CHUNKED.replace(b'3\r\nabc', b'7d0\r\n' + b'a' * 2000), 413),
     ],
 )
-def test_bad_request_is_refused_and_the_connection_closed(sent, status):
+def test_invalid_request_is_refused_and_the_connection_closed(sent, status):
     server, caller = _exchange([sent])
     assert _status(caller) == status
     assert caller.is_closed
     assert server.got == []
 
 
-def test_smuggled_request_behind_a_bad_one_is_not_read():
+def test_request_smuggled_behind_an_invalid_one_is_not_read():
     server, caller = _exchange(
         [CHUNKED.replace(b'chunked', b'chunked\r\ncontent-length: 4') + GET],
     )
@@ -170,12 +170,12 @@
     assert caller.received.count(b'HTTP/1.1') == 1
 
 
-def test_request_before_a_bad_one_gets_its_answer_first():
+def test_request_before_an_invalid_one_is_answered_first():
     _, caller = _exchange([GET + b'nonsense\r\n\r\n'])
     assert caller.received.index(b'200') < caller.received.index(b'400')
 
 
-def test_slow_head_is_refused_and_idle_connection_closed():
+def test_slow_head_gets_408_and_an_idle_connection_is_closed():
     _, slow = _exchange([GET[:10]], wait_s=1)
     assert _status(slow) == 408
     _, idle = _exchange([GET], wait_s=1)
@@ -184,14 +184,14 @@
     assert idle.is_closed
 
 
-def test_expectation_is_answered_before_the_body():
-    asked = POST.replace(b'host: h', b'host: h\r\nexpect: 100-continue')
-    _, caller = _exchange([asked])
+def test_100_continue_is_sent_before_the_body_is_answered():
+    request = POST.replace(b'host: h', b'host: h\r\nexpect: 100-continue')
+    _, caller = _exchange([request])
     assert caller.received.startswith(b'HTTP/1.1 100')
     assert b'POST /b body' in caller.received
 
 
-def test_close_is_respected_and_said_while_draining():
+def test_connection_closes_if_the_caller_asks_or_while_draining():
     _, caller = _exchange(
         [GET.replace(b'host: h', b'host: h\r\nconnection: close')]
     )
@@ -207,7 +207,7 @@
     assert caller.is_closed
 
 
-def test_work_ends_when_the_caller_leaves():
+def test_work_is_cancelled_when_the_caller_disconnects():
     async def check():
         server = Echo()
         server.work_ms = 10_000
@@ -222,7 +222,7 @@
     run_in_memory(check())
 
 
-def test_failing_handler_cuts_the_connection():
+def test_answer_of_a_failing_handler_looks_incomplete():
     class Failing(Echo):
         async def answer(self, exchange: Exchange) -> None:
             exchange.start(200, ())
@@ -234,7 +234,7 @@
     assert not caller.received.endswith(b'0\r\n\r\n')
 
 
-def test_cut_answer_does_not_look_whole():
+def test_aborted_answer_looks_incomplete():
     class Cut(Echo):
         async def answer(self, exchange: Exchange) -> None:
             exchange.start(200, ())
@@ -246,7 +246,7 @@
     assert not caller.received.endswith(b'0\r\n\r\n')
 
 
-def test_idle_connection_is_closed_but_not_a_busy_one():
+def test_close_idle_leaves_busy_connections_open():
     async def check():
         server = Echo()
         server.work_ms = 300
--- a/tests/test_http_engine.py
+++ b/tests/test_http_engine.py
@@ -25,8 +25,8 @@
     return ''.join(tokens)
 
 
-def test_restarted_engine_is_not_taken_for_a_lost_one() -> None:
-    """Connections to the earlier process of an engine are never used."""
+def test_engine_is_reached_after_a_restart() -> None:
+    """A kept connection would lead to the earlier process of the engine."""
 
     async def scenario() -> None:
         engine = Engine(Clock.from_system(), EngineSpeed(token_interval_ms=1))
@@ -46,7 +46,7 @@
     asyncio.run(scenario())
 
 
-def test_engine_that_is_not_there_has_not_run_anything() -> None:
+def test_unreachable_engine_refuses_the_attempt() -> None:
     client = HttpEngineClient('127.0.0.1:1')
     with pytest.raises(EngineRefusedError):
         asyncio.run(_generate(client, 'a'))
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -108,7 +108,9 @@
         ((b'GET / HTTP/1.1\r\n' + b'a: bbbb\r\n' * 300 + b'\r\n',), b' 431 '),
     ],
 )
-def test_limits(parts: tuple[bytes, ...], expected: bytes) -> None:
+def test_requests_beyond_the_size_limits_are_refused(
+    parts: tuple[bytes, ...], expected: bytes
+) -> None:
     async def talk(port: int) -> None:
         received = await _send(port, *parts)
         assert expected in received
@@ -118,7 +120,7 @@
     assert all(refusal.ran == 'no' for refusal in refusals)
 
 
-def test_refusal_reaches_a_caller_that_sends_first_and_reads_later() -> None:
+def test_refusal_reaches_a_caller_that_reads_only_after_sending() -> None:
     body = b'x' * 4_000_000
 
     async def talk(port: int) -> None:
@@ -129,7 +131,7 @@
     asyncio.run(_with_server(talk, limits=limits))
 
 
-def test_body_without_end_is_cut_off_after_the_refusal() -> None:
+def test_endless_body_is_cut_off_after_the_refusal() -> None:
     async def talk(port: int) -> None:
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(_post(10**12))
@@ -149,7 +151,9 @@
         ((), b''),
     ],
 )
-def test_time_limits(parts: tuple[bytes, ...], expected: bytes) -> None:
+def test_requests_beyond_the_time_limits_are_refused_or_closed(
+    parts: tuple[bytes, ...], expected: bytes
+) -> None:
     async def talk(port: int) -> None:
         received = await _send(port, *parts)
         assert expected in received
@@ -159,7 +163,7 @@
     assert bool(refusals) == (b'reason' in expected)
 
 
-def test_bodies_held_at_once_are_bounded() -> None:
+def test_total_memory_of_concurrent_bodies_is_bounded() -> None:
     release = asyncio.Event()
     holding = asyncio.Event()
 
@@ -180,7 +184,7 @@
     asyncio.run(_with_server(talk, hold))
 
 
-def test_tls_serves_only_over_tls(tmp_path: Path) -> None:
+def test_server_with_tls_keys_answers_only_over_tls(tmp_path: Path) -> None:
     pair = generate_tls_pair(('127.0.0.1',), 1, Clock.from_system())
     certificate, key = tmp_path / 'a.pem', tmp_path / 'a.key'
     certificate.write_bytes(pair.certificate)
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -60,14 +60,16 @@
 
 
 @pytest.mark.parametrize('method', ['POST', 'PUT', 'DELETE'])
-def test_call_is_not_repeated_on_a_dropped_connection(method: str) -> None:
+def test_call_is_not_retried_when_a_kept_connection_drops(method: str) -> None:
     requests = asyncio.run(_calls(method))
     assert len(requests) == 3
-    assert all(one.startswith(f'{method} /a?b=c '.encode()) for one in requests)
+    assert all(
+        request.startswith(f'{method} /a?b=c '.encode()) for request in requests
+    )
     assert b'upgrade' not in b''.join(requests)
 
 
-async def _silent() -> None:
+async def _call_silent_and_closed_server() -> None:
     async def wait(*_: object) -> None:
         await asyncio.sleep(5)
 
@@ -82,11 +84,11 @@
         await client.call(_request())
 
 
-def test_no_answer_differs_from_no_connection() -> None:
-    asyncio.run(_silent())
+def test_lost_answer_and_failed_connection_raise_different_errors() -> None:
+    asyncio.run(_call_silent_and_closed_server())
 
 
-async def _standin() -> None:
+async def _call_standin() -> None:
     service = PlainService(Clock.from_system())
     async with serving(create_app(service)) as address:
         client = HttpServiceClient(address)
@@ -102,5 +104,5 @@
     assert service.runs_by_key == {'k': 2}
 
 
-def test_standin_service() -> None:
-    asyncio.run(_standin())
+def test_calls_reach_the_service_and_a_dropped_answer_is_lost() -> None:
+    asyncio.run(_call_standin())
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform tells, decoded once into the project's types."""
+"""Decoding of the platform's manifest, rows, reports and settings."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.platform_standins import settings
 
 PACKAGE = Path(__file__).parent.parent / 'bergamotthread'
-# Names of the platform's wire that mean nothing inside the product.
+# Names of the platform's API that only the adapter may use.
 WIRE_NAMES = re.compile(
     r'/api/|rows-(get|feed|tx)|kv-(move|from|fetch|backup)|route_type'
     r'|traffic_split|stream_resume|gap_target_ms|queue_depth|auth_exempt'
@@ -57,11 +57,11 @@
     assert len(set(WIRE_NAMES.findall(text))) > 1
 
 
-def _table(**more):
-    return decode_manifest(json.dumps(manifest(**more)).encode())
+def _table(**overrides):
+    return decode_manifest(json.dumps(manifest(**overrides)).encode())
 
 
-def test_kind_of_route_decides_what_may_be_repeated():
+def test_route_type_decides_which_requests_may_be_retried():
     by_name = {route.name: route for route in _table().routes}
     assert by_name['/stream/'].repeatability is Repeatability.RESUMABLE
     assert by_name['/once-stream/'].repeatability is Repeatability.NEVER
@@ -88,17 +88,20 @@
     assert table.match(b'other', b'/any/x') is None
     assert table.match(b'h.example', b'/any') is None
     services = table.match(b'h.example', b'/any/deep/').services
-    assert [one.service for one in services] == ['y']
+    assert [weighted.service for weighted in services] == ['y']
 
 
-def test_keys_name_their_team_and_none_are_asked_for_without_teams():
+def test_keys_map_to_teams_and_no_key_is_required_without_teams():
     assert _table(keys=('k1', 'k2')).team_by_key == {
         b'k1': 'team-one',
         b'k2': 'team-one',
     }
-    told = manifest()
-    del told['tenants']
-    assert decode_manifest(json.dumps(told).encode()).team_by_key is None
+    without_tenants = manifest()
+    del without_tenants['tenants']
+    assert (
+        decode_manifest(json.dumps(without_tenants).encode()).team_by_key
+        is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -109,29 +112,29 @@
         ({'limits': {'max_body_bytes': 'x'}}, r'\$\.limits\.max_body_bytes'),
     ],
 )
-def test_error_of_a_manifest_names_the_path(change, place):
-    told = {**manifest(), **change}
+def test_manifest_error_names_the_path_of_the_field(change, place):
+    invalid = {**manifest(), **change}
     with pytest.raises(msgspec.ValidationError, match=place):
-        decode_manifest(json.dumps(told).encode())
+        decode_manifest(json.dumps(invalid).encode())
 
 
 def test_unknown_fields_of_a_manifest_are_ignored():
     assert _table(surprise={'a': 1}).version == 1
 
 
-def _row(**more):
-    told = {
+def _row(**overrides):
+    row = {
         'service': 's',
         'address': '10.0.0.1:80',
         'zone': 'a-1',
         'state': 'ready',
         'born': 7,
-        **more,
+        **overrides,
     }
-    return json.dumps(told).encode()
+    return json.dumps(row).encode()
 
 
-def test_row_names_an_upstream():
+def test_runner_row_decodes_to_an_upstream():
     record = decode_runner('i-1', _row(state='draining'))
     assert record.failure_domain == 'a-1'
     assert record.state is UpstreamState.DRAINING
@@ -151,15 +154,15 @@
         b'{"service":"s"}',
     ],
 )
-def test_odd_row_names_no_upstream(encoded):
+def test_invalid_runner_row_is_ignored(encoded):
     assert decode_runner('i-1', encoded) is None
 
 
-def _report(**told):
-    return decode_report(json.dumps(told).encode(), 5)
+def _report(**fields):
+    return decode_report(json.dumps(fields).encode(), 5)
 
 
-def test_report_tells_what_is_not_read_yet():
+def test_unread_prompt_tokens_follow_from_the_load_report():
     running = [['r1', 9000, 12, 5]]
     idle = _report(in_flight=1, kv_used=9000, runs=running)
     assert idle.unread_tokens == 0
@@ -171,20 +174,20 @@
     assert with_copies.unread_tokens == UNREAD_TOKENS
 
 
-def test_report_that_cannot_be_read_tells_nothing():
+def test_invalid_load_report_is_ignored():
     assert decode_report(b'{"in_flight":"x"}', 5) is None
 
 
-def test_settings_of_an_entry():
-    told = settings('edge-b-1', 'b-1', 3)
-    assert told.region == 'b'
-    assert told.front == '10.1.0.3:8000'
-    assert told.stop_grace_ms == 8000
-    assert told.revoke_bound_ms == 5000
-    assert told.peer_port == told.metrics_port + 1
+def test_settings_file_of_an_entry_is_decoded():
+    decoded = settings('edge-b-1', 'b-1', 3)
+    assert decoded.region == 'b'
+    assert decoded.front == '10.1.0.3:8000'
+    assert decoded.stop_grace_ms == 8000
+    assert decoded.revoke_bound_ms == 5000
+    assert decoded.peer_port == decoded.metrics_port + 1
 
 
-def test_error_of_a_settings_file_names_file_path_and_type(tmp_path):
+def test_settings_error_names_the_file_and_the_field(tmp_path):
     path = tmp_path / 'node.json'
     path.write_text('{"node_name": 5}')
     with pytest.raises(PlatformSettingsError, match=r'node\.json.*node_name'):
@@ -193,7 +196,7 @@
         PlatformSettings.from_file(tmp_path / 'missing.json')
 
 
-def test_fields_that_callers_may_not_set_include_all_that_the_entry_sets():
+def test_callers_may_not_set_the_header_fields_of_the_entry():
     dialect = PLATFORM_DIALECT
     for name in (
         dialect.remaining_ms,
--- a/tests/test_platform_entry.py
+++ b/tests/test_platform_entry.py
@@ -1,4 +1,4 @@
-"""The whole entry against stand-ins of the platform, in virtual time."""
+"""Entry process against stand-ins of the platform, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from tests.platform_standins import Deployment, settings
 
 
-def test_each_kind_of_request_gets_its_whole_answer():
+def test_each_kind_of_request_gets_a_complete_answer():
     async def check():
-        day = await Deployment.start()
-        plain = await day.call('/once/x')
-        looked_up = await day.call('/any/x', method=b'GET')
-        stream = await day.call('/stream/x')
+        deployment = await Deployment.start()
+        plain = await deployment.call('/once/x')
+        looked_up = await deployment.call('/any/x', method=b'GET')
+        stream = await deployment.call('/stream/x')
         assert (plain.status, plain.body) == (200, b'answer')
         assert (looked_up.status, looked_up.body) == (200, b'answer')
         assert stream.status == 200
@@ -37,9 +37,9 @@
     run_in_memory(check())
 
 
-def test_request_is_forwarded_unchanged_but_for_what_the_entry_sets():
+def test_request_is_forwarded_unchanged_except_for_fields_of_the_entry():
     async def check():
-        day = await Deployment.start(plains=1)
+        deployment = await Deployment.start(plains=1)
         forged = (
             (b'bergamotthread-tenant', b'other'),
             (b'bergamotthread-hold', b'h'),
@@ -50,8 +50,8 @@
             (b'connection', b'x-hop'),
             (b'x-hop', b'dropped'),
         )
-        await day.call('/once/a?b=c', extra=forged, body=b'\x00body')
-        seen = day.plains[0].seen[0]
+        await deployment.call('/once/a?b=c', extra=forged, body=b'\x00body')
+        seen = deployment.plains[0].seen[0]
         assert (seen.method, seen.target) == (b'POST', b'/once/a?b=c')
         assert seen.body == b'\x00body'
         assert seen.headers[b'bergamotthread-tenant'] == b'team-one'
@@ -72,47 +72,47 @@
     run_in_memory(check())
 
 
-def test_answer_that_is_too_long_to_hold_is_not_passed_on():
+def test_answer_that_is_too_long_to_buffer_is_not_forwarded():
     async def check():
-        day = await Deployment.start(plains=1)
-        day.plains[0].script.answer = b'x' * WHOLE_ANSWER_BYTES_MAX
-        whole = await day.call('/once/x')
+        deployment = await Deployment.start(plains=1)
+        deployment.plains[0].script.answer = b'x' * WHOLE_ANSWER_BYTES_MAX
+        whole = await deployment.call('/once/x')
         assert (whole.status, len(whole.body)) == (200, WHOLE_ANSWER_BYTES_MAX)
-        runner = day.plains[0]
+        runner = deployment.plains[0]
         runner.script.answer = b'x' * 2 * WHOLE_ANSWER_BYTES_MAX
-        assert (await day.call('/once/x')).status == 502
+        assert (await deployment.call('/once/x')).status == 502
 
     run_in_memory(check())
 
 
-def test_request_that_may_run_once_is_not_sent_again_after_a_loss():
+def test_non_idempotent_request_is_not_retried_after_a_loss():
     async def check():
-        day = await Deployment.start(plains=2)
-        for plain in day.plains:
+        deployment = await Deployment.start(plains=2)
+        for plain in deployment.plains:
             plain.script.breaks_after = 0
-        answer = await day.call('/once/x')
+        answer = await deployment.call('/once/x')
         assert answer.status == 502
-        assert day.ran(day.plains) == 1
+        assert deployment.ran(deployment.plains) == 1
 
     run_in_memory(check())
 
 
-def test_request_that_may_run_once_goes_on_after_a_refusal_to_run():
+def test_non_idempotent_request_is_retried_after_a_not_run_answer():
     async def check():
-        day = await Deployment.start(plains=2)
-        day.plains[0].script.not_run = True
-        answers = [await day.call('/once/x') for _ in range(3)]
+        deployment = await Deployment.start(plains=2)
+        deployment.plains[0].script.not_run = True
+        answers = [await deployment.call('/once/x') for _ in range(3)]
         assert [answer.status for answer in answers] == [200, 200, 200]
 
     run_in_memory(check())
 
 
-def test_refusal_everywhere_says_not_run_and_when_to_come_again():
+def test_refusal_by_all_upstreams_has_retry_after_and_no_signature():
     async def check():
-        day = await Deployment.start(plains=2)
-        for plain in day.plains:
+        deployment = await Deployment.start(plains=2)
+        for plain in deployment.plains:
             plain.script.not_run = True
-        answer = await day.call('/once/x')
+        answer = await deployment.call('/once/x')
         assert answer.status == 503
         assert float(answer.headers[b'retry-after']) > 0
         assert SEAL not in answer.headers
@@ -120,43 +120,45 @@
     run_in_memory(check())
 
 
-def test_repeatable_request_is_sent_again_after_a_loss():
+def test_idempotent_request_is_retried_after_a_loss():
     async def check():
-        day = await Deployment.start(plains=2)
-        day.plains[0].script.breaks_after = 0
-        answers = [await day.call('/any/x', method=b'GET') for _ in range(4)]
+        deployment = await Deployment.start(plains=2)
+        deployment.plains[0].script.breaks_after = 0
+        answers = [
+            await deployment.call('/any/x', method=b'GET') for _ in range(4)
+        ]
         assert {answer.status for answer in answers} == {200}
 
     run_in_memory(check())
 
 
-def test_repeatable_request_leaves_a_silent_upstream():
+def test_idempotent_request_is_retried_if_its_upstream_is_silent():
     async def check():
-        day = await Deployment.start(plains=2)
-        day.plains[0].script.work_ms = 60_000
-        answer = await day.call('/any/x', method=b'GET')
+        deployment = await Deployment.start(plains=2)
+        deployment.plains[0].script.work_ms = 60_000
+        answer = await deployment.call('/any/x', method=b'GET')
         assert answer.status == 200
 
     run_in_memory(check())
 
 
-def _copies_everywhere(day, request_id='r1'):
-    for model in day.models:
+def _copies_everywhere(deployment, request_id='r1'):
+    for model in deployment.models:
         model.script.copies = {
-            f'{one.address}/{request_id}' for one in day.models
+            f'{source.address}/{request_id}' for source in deployment.models
         }
 
 
 @pytest.mark.parametrize('loss', ['reset', 'kill', 'silence'])
-def test_stream_goes_on_from_its_copy_as_one_answer(loss):
+def test_lost_stream_resumes_from_its_copy_without_gap_or_repeat(loss):
     async def check():
-        day = await Deployment.start()
-        _copies_everywhere(day)
-        task = asyncio.create_task(day.call('/stream/x'))
-        await day.clock.sleep_ms(1500)
-        runner = next(model for model in day.models if model.seen)
+        deployment = await Deployment.start()
+        _copies_everywhere(deployment)
+        task = asyncio.create_task(deployment.call('/stream/x'))
+        await deployment.clock.sleep_ms(1500)
+        runner = next(model for model in deployment.models if model.seen)
         if loss == 'reset':
-            day.net.reset(runner.address)
+            deployment.net.reset(runner.address)
         elif loss == 'kill':
             runner.kill()
         else:
@@ -168,7 +170,7 @@
         assert answer.longest_pause_ms < 700
         resumed = [
             seen
-            for model in day.models
+            for model in deployment.models
             for seen in model.seen
             if b'kv-from' in seen.headers
         ]
@@ -178,12 +180,12 @@
     run_in_memory(check())
 
 
-def test_stream_without_a_copy_reads_its_prompt_again():
+def test_lost_stream_without_a_copy_resumes_by_reading_its_prompt():
     async def check():
-        day = await Deployment.start()
-        task = asyncio.create_task(day.call('/stream/x'))
-        await day.clock.sleep_ms(1500)
-        next(model for model in day.models if model.seen).kill()
+        deployment = await Deployment.start()
+        task = asyncio.create_task(deployment.call('/stream/x'))
+        await deployment.clock.sleep_ms(1500)
+        next(model for model in deployment.models if model.seen).kill()
         answer = await task
         assert answer.is_whole
         assert answer.event_ids == list(range(1, 61))
@@ -191,18 +193,18 @@
     run_in_memory(check())
 
 
-def test_waiting_for_an_upstream_spends_no_repeats():
-    """Each look for an upstream once took a repeat from the budget."""
+def test_stream_that_waits_for_an_upstream_spends_no_retries():
+    """Every search for an upstream once counted as a retry."""
 
     async def check():
-        day = await Deployment.start()
-        task = asyncio.create_task(day.call('/stream/x'))
-        await day.clock.sleep_ms(1500)
-        for model in day.models:
-            day.store.remove('servers', model.instance)
+        deployment = await Deployment.start()
+        task = asyncio.create_task(deployment.call('/stream/x'))
+        await deployment.clock.sleep_ms(1500)
+        for model in deployment.models:
+            deployment.store.remove('servers', model.instance)
             model.kill()
-        await day.clock.sleep_ms(4000)
-        await day.add_runner('m9', 'model-service', 'b-1')
+        await deployment.clock.sleep_ms(4000)
+        await deployment.add_runner('m9', 'model-service', 'b-1')
         answer = await task
         assert answer.is_whole
         assert answer.event_ids == list(range(1, 61))
@@ -210,70 +212,72 @@
     run_in_memory(check())
 
 
-def test_plain_request_that_waits_for_an_upstream_spends_no_repeats():
-    """Twenty requests that look several times each are all within budget."""
+def test_plain_request_that_waits_for_an_upstream_spends_no_retries():
+    """Twenty requests that search several times each stay within budget."""
 
     async def check():
-        day = await Deployment.start(plains=1)
-        [refusing] = day.plains
+        deployment = await Deployment.start(plains=1)
+        [refusing] = deployment.plains
         refusing.script.not_run = True
-        calls = [day.call('/any/x', method=b'GET') for _ in range(20)]
+        calls = [deployment.call('/any/x', method=b'GET') for _ in range(20)]
         waiting = asyncio.gather(*calls)
-        await day.clock.sleep_ms(50)
-        assert day.ran(day.plains) == 20
-        day.store.remove('servers', refusing.instance)
-        await day.clock.sleep_ms(200)
-        await day.add_runner('p9', PLAIN, 'b-1')
+        await deployment.clock.sleep_ms(50)
+        assert deployment.ran(deployment.plains) == 20
+        deployment.store.remove('servers', refusing.instance)
+        await deployment.clock.sleep_ms(200)
+        await deployment.add_runner('p9', PLAIN, 'b-1')
         answers = await waiting
         assert {answer.status for answer in answers} == {200}
 
     run_in_memory(check())
 
 
-def test_event_without_an_end_cuts_the_stream():
+def test_event_that_is_too_long_cuts_the_stream():
     async def check():
-        day = await Deployment.start(models=1)
-        day.models[0].script.padding = EVENT_BYTES_MAX
-        answer = await day.call('/once-stream/x')
+        deployment = await Deployment.start(models=1)
+        deployment.models[0].script.padding = EVENT_BYTES_MAX
+        answer = await deployment.call('/once-stream/x')
         assert not answer.is_whole
-        [told] = day.events('refused')
-        assert 'expected at most' in str(told['detail'])
+        [fields] = deployment.events('refused')
+        assert 'expected at most' in str(fields['detail'])
 
     run_in_memory(check())
 
 
-def test_stalled_stream_is_taken_to_another_upstream():
+def test_stalled_stream_resumes_on_another_upstream():
     async def check():
-        day = await Deployment.start()
-        _copies_everywhere(day)
-        for model in day.models:
+        deployment = await Deployment.start()
+        _copies_everywhere(deployment)
+        for model in deployment.models:
             model.script.stalls_after = 10
-        answer = await day.call('/stream/x')
+        answer = await deployment.call('/stream/x')
         assert answer.event_ids[:30] == list(range(1, 31))
-        ended = [seen.ended_ms for model in day.models for seen in model.seen]
+        ended = [
+            seen.ended_ms for model in deployment.models for seen in model.seen
+        ]
         assert len(ended) > 1
 
     run_in_memory(check())
 
 
-def test_stream_that_may_run_once_is_cut_after_a_loss():
+def test_stream_without_resume_is_cut_after_a_loss():
     async def check():
-        day = await Deployment.start()
-        task = asyncio.create_task(day.call('/once-stream/x'))
-        await day.clock.sleep_ms(1500)
-        next(model for model in day.models if model.seen).kill()
+        deployment = await Deployment.start()
+        task = asyncio.create_task(deployment.call('/once-stream/x'))
+        await deployment.clock.sleep_ms(1500)
+        next(model for model in deployment.models if model.seen).kill()
         answer = await task
         assert not answer.is_whole
-        assert day.ran(day.models) == 1
+        assert deployment.ran(deployment.models) == 1
 
     run_in_memory(check())
 
 
-def test_half_an_event_is_never_passed_on():
+def test_partial_event_is_not_forwarded():
     async def check():
-        day = await Deployment.start(models=1)
-        day.models[0].script.breaks_after = 5
-        answer = await day.call('/once-stream/x')
+        deployment = await Deployment.start(models=1)
+        deployment.models[0].script.breaks_after = 5
+        answer = await deployment.call('/once-stream/x')
         assert answer.event_ids == [1, 2, 3, 4, 5]
         assert answer.body.endswith(b'data: t5 r1\n\n')
         assert not answer.is_whole
@@ -281,49 +285,49 @@
     run_in_memory(check())
 
 
-def test_stream_that_ends_within_an_event_is_not_whole():
+def test_stream_that_ends_within_an_event_is_incomplete():
     async def check():
-        day = await Deployment.start(models=1)
-        day.models[0].script.ends_in_event = True
-        answer = await day.call('/once-stream/x')
+        deployment = await Deployment.start(models=1)
+        deployment.models[0].script.ends_in_event = True
+        answer = await deployment.call('/once-stream/x')
         assert not answer.is_whole
         assert answer.event_ids == list(range(1, 61))
 
     run_in_memory(check())
 
 
-def test_events_that_are_sent_again_are_not_passed_on_twice():
+def test_events_repeated_after_a_resume_are_forwarded_once():
     async def check():
-        day = await Deployment.start()
-        _copies_everywhere(day)
-        task = asyncio.create_task(day.call('/stream/x'))
-        await day.clock.sleep_ms(1500)
-        for model in day.models:
+        deployment = await Deployment.start()
+        _copies_everywhere(deployment)
+        task = asyncio.create_task(deployment.call('/stream/x'))
+        await deployment.clock.sleep_ms(1500)
+        for model in deployment.models:
             model.script.repeats = 3
-        next(model for model in day.models if model.seen).kill()
+        next(model for model in deployment.models if model.seen).kill()
         answer = await task
         assert answer.event_ids == list(range(1, 61))
 
     run_in_memory(check())
 
 
-def test_copy_is_made_anew_when_its_holder_is_lost():
-    """Load: one failure domain after another, seconds apart."""
+def test_new_copy_is_made_when_the_copy_holder_is_lost():
+    """Failure domains are lost one after another, seconds apart."""
 
     async def check():
-        day = await Deployment.start()
-        task = asyncio.create_task(day.call('/stream/x'))
-        await day.clock.sleep_ms(1000)
-        runner = next(model for model in day.models if model.seen)
-        told = runner.seen[0].headers[b'bergamotthread-kv-backup'].decode()
-        by_address = {model.address: model for model in day.models}
-        holder = by_address.pop(told)
+        deployment = await Deployment.start()
+        task = asyncio.create_task(deployment.call('/stream/x'))
+        await deployment.clock.sleep_ms(1000)
+        runner = next(model for model in deployment.models if model.seen)
+        target = runner.seen[0].headers[b'bergamotthread-kv-backup'].decode()
+        by_address = {model.address: model for model in deployment.models}
+        holder = by_address.pop(target)
         by_address.pop(runner.address)
         third = next(iter(by_address.values()))
         third.script.copies = {f'{runner.address}/h1'}
         holder.kill()
-        day.store.remove('servers', holder.instance)
-        await day.clock.sleep_ms(700)
+        deployment.store.remove('servers', holder.instance)
+        await deployment.clock.sleep_ms(700)
         assert runner.copied_to == [third.address]
         runner.kill()
         answer = await task
@@ -333,62 +337,66 @@
     run_in_memory(check())
 
 
-def _held_tokens(day):
-    directory = day.entries[0]._parts.directory
-    there = directory.of_service('model-service')
-    return {one.record.instance: one.held_tokens for one in there}
+def _held_tokens(deployment):
+    directory = deployment.entries[0]._parts.directory
+    upstreams = directory.of_service('model-service')
+    return {
+        upstream.record.instance: upstream.held_tokens for upstream in upstreams
+    }
 
 
-def test_copies_of_streams_at_once_are_spread():
-    """Those of one burst once went to one holder, which then refused them."""
+def test_copies_of_concurrent_streams_are_spread():
+    """All copies of one burst once went to one holder, which refused them."""
 
     async def check():
-        day = await Deployment.start(models=6)
+        deployment = await Deployment.start(models=6)
         prompt = ((b'bergamotthread-prompt-prefix', b'p:8000'),)
-        calls = [day.call('/stream/x', extra=prompt) for _ in range(6)]
+        calls = [deployment.call('/stream/x', extra=prompt) for _ in range(6)]
         waiting = asyncio.gather(*calls)
-        await day.clock.sleep_ms(1000)
-        assert max(_held_tokens(day).values()) <= 3 * 8000
-        assert sum(_held_tokens(day).values()) == 6 * 8000
+        await deployment.clock.sleep_ms(1000)
+        assert max(_held_tokens(deployment).values()) <= 3 * 8000
+        assert sum(_held_tokens(deployment).values()) == 6 * 8000
         answers = await waiting
         assert all(answer.is_whole for answer in answers)
-        assert set(_held_tokens(day).values()) == {0}
+        assert set(_held_tokens(deployment).values()) == {0}
 
     run_in_memory(check())
 
 
 @pytest.mark.parametrize('how', ['caller leaves', 'upstream is lost'])
-def test_copy_is_no_longer_counted_once_its_stream_is_over(how):
+def test_copy_is_not_counted_after_the_end_of_its_stream(how):
     async def check():
-        day = await Deployment.start()
-        connection = await day.connect()
-        connection.send(day.request('/stream/x'), b'')
-        await day.clock.sleep_ms(1500)
-        assert sum(_held_tokens(day).values()) == 8000
+        deployment = await Deployment.start()
+        connection = await deployment.connect()
+        connection.send(deployment.request('/stream/x'), b'')
+        await deployment.clock.sleep_ms(1500)
+        assert sum(_held_tokens(deployment).values()) == 8000
         if how == 'caller leaves':
             connection.close()
         else:
-            next(model for model in day.models if model.seen).kill()
-            await day.read(connection)
-        await day.clock.sleep_ms(500)
-        assert set(_held_tokens(day).values()) == {0}
+            next(model for model in deployment.models if model.seen).kill()
+            await deployment.read(connection)
+        await deployment.clock.sleep_ms(500)
+        assert set(_held_tokens(deployment).values()) == {0}
 
     run_in_memory(check())
 
 
-def test_copy_that_is_not_needed_is_freed():
+def test_unused_copy_is_freed_at_the_end_of_its_stream():
     async def check():
-        day = await Deployment.start()
-        task = asyncio.create_task(day.call('/stream/x'))
-        await day.clock.sleep_ms(1000)
-        runner = next(model for model in day.models if model.seen)
-        told = runner.seen[0].headers[b'bergamotthread-kv-backup'].decode()
-        day.net.kill(told)
-        holder = next(one for one in day.models if one.address == told)
-        day.store.remove('servers', holder.instance)
+        deployment = await Deployment.start()
+        task = asyncio.create_task(deployment.call('/stream/x'))
+        await deployment.clock.sleep_ms(1000)
+        runner = next(model for model in deployment.models if model.seen)
+        target = runner.seen[0].headers[b'bergamotthread-kv-backup'].decode()
+        deployment.net.kill(target)
+        holder = next(
+            model for model in deployment.models if model.address == target
+        )
+        deployment.store.remove('servers', holder.instance)
         answer = await task
         assert answer.is_whole
-        await day.clock.sleep_ms(100)
+        await deployment.clock.sleep_ms(100)
         assert runner.freed == ['/api/kv-handle/h1']
 
     run_in_memory(check())
@@ -402,12 +410,12 @@
     )
 
 
-def test_stream_that_comes_back_goes_where_its_prompt_is_cached():
-    """Load: an entry is killed, and its callers come back elsewhere."""
+def test_reconnect_goes_to_the_upstream_that_cached_the_prompt():
+    """After the loss of an entry, its callers reconnect to another one."""
 
     async def check():
-        day = await Deployment.start(models=12)
-        choice = day.entries[0]._parts.choice
+        deployment = await Deployment.start(models=12)
+        choice = deployment.entries[0]._parts.choice
         for number in range(6):
             part = f'bb{number}'
             work = Work(
@@ -416,9 +424,11 @@
                 affinity=part.encode(),
             )
             last = choice.draw(work)[-1].record.instance
-            reader = next(one for one in day.models if one.instance == last)
+            reader = next(
+                model for model in deployment.models if model.instance == last
+            )
             reader.cached.add(part)
-            answer = await day.call('/stream/x', extra=_returning(part))
+            answer = await deployment.call('/stream/x', extra=_returning(part))
             assert answer.event_ids == list(range(21, 61))
             assert len(reader.seen) == 1
             reader.seen.clear()
@@ -426,100 +436,100 @@
     run_in_memory(check())
 
 
-def test_stream_that_comes_back_to_no_cache_is_placed_as_a_new_one():
+def test_reconnect_without_a_cached_prompt_is_placed_like_a_new_stream():
     async def check():
-        day = await Deployment.start()
-        answer = await day.call('/stream/x', extra=_returning('bb'))
+        deployment = await Deployment.start()
+        answer = await deployment.call('/stream/x', extra=_returning('bb'))
         assert answer.event_ids == list(range(21, 61))
 
     run_in_memory(check())
 
 
-def test_unknown_key_and_route():
+def test_unknown_keys_and_routes_are_refused():
     async def check():
-        day = await Deployment.start()
-        assert (await day.call('/once/x', key='other')).status == 401
-        assert (await day.call('/once/x', key='')).status == 401
-        assert (await day.call('/nowhere/x')).status == 404
-        assert (await day.call('/open/x', key='')).status == 200
+        deployment = await Deployment.start()
+        assert (await deployment.call('/once/x', key='other')).status == 401
+        assert (await deployment.call('/once/x', key='')).status == 401
+        assert (await deployment.call('/nowhere/x')).status == 404
+        assert (await deployment.call('/open/x', key='')).status == 200
 
     run_in_memory(check())
 
 
 def test_removed_key_is_refused_and_a_version_never_goes_back():
     async def check():
-        day = await Deployment.start()
-        day.store.put('op', 'config', manifest(9, keys=('key-two',)))
-        await day.clock.sleep_ms(100)
-        assert (await day.call('/once/x')).status == 401
-        day.store.put('op', 'config', manifest(3, keys=(KEY,)))
-        await day.clock.sleep_ms(100)
-        assert (await day.call('/once/x')).status == 401
-        assert (await day.call('/once/x', key='key-two')).status == 200
+        deployment = await Deployment.start()
+        deployment.store.put('op', 'config', manifest(9, keys=('key-two',)))
+        await deployment.clock.sleep_ms(100)
+        assert (await deployment.call('/once/x')).status == 401
+        deployment.store.put('op', 'config', manifest(3, keys=(KEY,)))
+        await deployment.clock.sleep_ms(100)
+        assert (await deployment.call('/once/x')).status == 401
+        assert (await deployment.call('/once/x', key='key-two')).status == 200
 
     run_in_memory(check())
 
 
-def test_manifest_that_cannot_be_read_keeps_the_former_one():
+def test_invalid_manifest_leaves_the_former_one_in_force():
     async def check():
-        day = await Deployment.start()
-        day.store.put('op', 'config', b'{"version": "x"}')
-        await day.clock.sleep_ms(100)
-        assert (await day.call('/once/x')).status == 200
-        told = day.events('manifest-refused')
-        assert '$.version' in str(told[0]['detail'])
+        deployment = await Deployment.start()
+        deployment.store.put('op', 'config', b'{"version": "x"}')
+        await deployment.clock.sleep_ms(100)
+        assert (await deployment.call('/once/x')).status == 200
+        refusals = deployment.events('manifest-refused')
+        assert '$.version' in str(refusals[0]['detail'])
 
     run_in_memory(check())
 
 
 @pytest.mark.parametrize('fault', ['silent', 'status', 'loses_answers'])
-def test_keys_are_trusted_only_while_the_version_is_proved(fault):
+def test_keys_are_accepted_only_while_the_version_is_confirmed(fault):
     async def check():
-        day = await Deployment.start()
+        deployment = await Deployment.start()
         if fault == 'silent':
-            day.net.silent.add('10.200.1.7:8000')
+            deployment.net.silent.add('10.200.1.7:8000')
         elif fault == 'status':
-            day.store.status = 429
+            deployment.store.status = 429
         else:
-            day.store.loses_answers = True
-        await day.clock.sleep_ms(2500)
-        assert (await day.call('/once/x')).status == 200
-        await day.clock.sleep_ms(2500)
-        refused = await day.call('/once/x')
+            deployment.store.loses_answers = True
+        await deployment.clock.sleep_ms(2500)
+        assert (await deployment.call('/once/x')).status == 200
+        await deployment.clock.sleep_ms(2500)
+        refused = await deployment.call('/once/x')
         assert refused.status == 503
         assert float(refused.headers[b'retry-after']) > 0
-        assert (await day.call('/open/x', key='')).status == 200
-        day.net.silent.clear()
-        day.store.status = 0
-        day.store.loses_answers = False
-        await day.clock.sleep_ms(2500)
-        assert (await day.call('/once/x')).status == 200
+        assert (await deployment.call('/open/x', key='')).status == 200
+        deployment.net.silent.clear()
+        deployment.store.status = 0
+        deployment.store.loses_answers = False
+        await deployment.clock.sleep_ms(2500)
+        assert (await deployment.call('/once/x')).status == 200
 
     run_in_memory(check())
 
 
-def test_calm_entry_never_doubts_its_version():
-    """Polls of 2.4 s let the proof of the version lapse in calm."""
+def test_version_stays_confirmed_while_the_store_answers():
+    """With polls of 2.4 s the confirmation lapsed without any fault."""
 
     async def check():
-        day = await Deployment.start()
+        deployment = await Deployment.start()
         for _ in range(40):
-            await day.clock.sleep_ms(311)
-            assert (await day.call('/once/x')).status == 200
+            await deployment.clock.sleep_ms(311)
+            assert (await deployment.call('/once/x')).status == 200
 
     run_in_memory(check())
 
 
-def test_entry_without_a_version_refuses_as_not_run():
-    """Its refusal once raised on the infinite age and cut the caller off."""
+def test_entry_without_a_version_refuses_with_retry_after():
+    """The age of the version is infinite; computing with it once raised."""
 
     async def check():
-        day = Deployment()
-        await day.store.listen('10.200.1.7:8000')
-        day.store.status = 503
-        await day.add_entry(settings())
-        await day.clock.sleep_ms(100)
-        answer = await day.call('/once/x')
+        deployment = Deployment()
+        await deployment.store.listen('10.200.1.7:8000')
+        deployment.store.status = 503
+        await deployment.add_entry(settings())
+        await deployment.clock.sleep_ms(100)
+        answer = await deployment.call('/once/x')
         assert answer.status == 503
         assert float(answer.headers[b'retry-after']) > 0
 
@@ -528,116 +538,119 @@
 
 def test_request_waits_for_the_first_version():
     async def check():
-        day = Deployment()
-        await day.store.listen('10.200.1.7:8000')
-        await day.add_runner('p0', 'plain-service', 'a-1')
-        await day.add_entry(settings())
+        deployment = Deployment()
+        await deployment.store.listen('10.200.1.7:8000')
+        await deployment.add_runner('p0', 'plain-service', 'a-1')
+        await deployment.add_entry(settings())
         await asyncio.sleep(0)
-        task = asyncio.create_task(day.call('/open/x', key=''))
-        await day.clock.sleep_ms(100)
-        day.store.put('op', 'config', manifest())
+        task = asyncio.create_task(deployment.call('/open/x', key=''))
+        await deployment.clock.sleep_ms(100)
+        deployment.store.put('op', 'config', manifest())
         assert (await task).status == 200
 
     run_in_memory(check())
 
 
-def test_forgotten_history_is_read_anew():
+def test_table_is_read_again_after_the_store_lost_its_history():
     async def check():
-        day = await Deployment.start()
-        day.net.silent.add('10.200.1.7:8000')
-        await day.clock.sleep_ms(1000)
-        day.store.put('op', 'config', manifest(9, keys=('key-two',)))
-        day.store.forget_history()
-        day.net.silent.clear()
-        await day.clock.sleep_ms(4000)
-        assert (await day.call('/once/x', key='key-two')).status == 200
-        assert day.events('store-history-lost')
+        deployment = await Deployment.start()
+        deployment.net.silent.add('10.200.1.7:8000')
+        await deployment.clock.sleep_ms(1000)
+        deployment.store.put('op', 'config', manifest(9, keys=('key-two',)))
+        deployment.store.forget_history()
+        deployment.net.silent.clear()
+        await deployment.clock.sleep_ms(4000)
+        assert (await deployment.call('/once/x', key='key-two')).status == 200
+        assert deployment.events('store-history-lost')
 
     run_in_memory(check())
 
 
-def test_rows_of_other_writers_name_no_upstream():
+def test_invalid_rows_of_other_writers_are_ignored():
     async def check():
-        day = await Deployment.start()
-        day.store.put('servers', 'odd-1', b'\xff\xfe')
-        day.store.put('servers', 'odd-2', {'service': 5})
-        day.store.put('servers', 'odd-3', {'service': 'plain-service'})
-        await day.clock.sleep_ms(1500)
+        deployment = await Deployment.start()
+        deployment.store.put('servers', 'odd-1', b'\xff\xfe')
+        deployment.store.put('servers', 'odd-2', {'service': 5})
+        deployment.store.put('servers', 'odd-3', {'service': 'plain-service'})
+        await deployment.clock.sleep_ms(1500)
         for _ in range(6):
-            assert (await day.call('/once/x')).status == 200
+            assert (await deployment.call('/once/x')).status == 200
 
     run_in_memory(check())
 
 
-async def _after_an_outage(day, outage_ms=3000):
-    """Take the store away for a while and wait until it answers again."""
-    day.store.status = 503
-    await day.clock.sleep_ms(outage_ms)
-    day.store.status = 0
-    await day.clock.sleep_ms(1000)
+async def _play_outage(deployment, outage_ms=3000):
+    """Make the store fail for a while, then wait until it answers again."""
+    deployment.store.status = 503
+    await deployment.clock.sleep_ms(outage_ms)
+    deployment.store.status = 0
+    await deployment.clock.sleep_ms(1000)
 
 
-def test_upstream_removed_after_an_outage_is_gone_within_the_bound():
-    """It was kept for 2.5 s from its removal, and for a poll more."""
+def test_upstream_is_removed_in_time_after_an_outage():
+    """It was once kept for 2.5 s and one poll from its removal."""
 
     async def check():
-        day = await Deployment.start(plains=2)
-        await _after_an_outage(day)
-        removed_ms = day.clock.now_ms()
-        leaving = day.plains[0]
-        day.store.remove('servers', leaving.instance)
+        deployment = await Deployment.start(plains=2)
+        await _play_outage(deployment)
+        removed_ms = deployment.clock.now_ms()
+        leaving = deployment.plains[0]
+        deployment.store.remove('servers', leaving.instance)
         gone = []
         while not gone:
-            await day.clock.sleep_ms(20)
-            gone = [one['upstream'] for one in day.events('upstream-gone')]
+            await deployment.clock.sleep_ms(20)
+            gone = [
+                event['upstream']
+                for event in deployment.events('upstream-gone')
+            ]
         assert gone == [leaving.instance]
-        assert day.clock.now_ms() - removed_ms < 2000
+        assert deployment.clock.now_ms() - removed_ms < 2000
 
     run_in_memory(check())
 
 
-def test_upstream_without_a_row_is_left_alone_where_there_are_others():
+def test_upstream_without_a_row_is_used_only_if_there_is_no_other():
     async def check():
-        day = await Deployment.start(plains=2)
-        await _after_an_outage(day)
-        leaving, staying = day.plains
-        day.store.remove('servers', leaving.instance)
-        await day.clock.sleep_ms(300)
+        deployment = await Deployment.start(plains=2)
+        await _play_outage(deployment)
+        leaving, staying = deployment.plains
+        deployment.store.remove('servers', leaving.instance)
+        await deployment.clock.sleep_ms(300)
         before = len(leaving.seen)
         for _ in range(6):
-            assert (await day.call('/once/x')).status == 200
+            assert (await deployment.call('/once/x')).status == 200
         assert len(leaving.seen) == before
-        assert not day.events('upstream-gone')
-        day.store.remove('servers', staying.instance)
-        await day.clock.sleep_ms(300)
-        assert (await day.call('/once/x')).status == 200
+        assert not deployment.events('upstream-gone')
+        deployment.store.remove('servers', staying.instance)
+        await deployment.clock.sleep_ms(300)
+        assert (await deployment.call('/once/x')).status == 200
 
     run_in_memory(check())
 
 
-def test_row_that_comes_back_after_an_outage_is_used_again():
+def test_upstream_whose_row_returns_after_an_outage_is_kept():
     async def check():
-        day = await Deployment.start(plains=1)
-        day.store.status = 503
-        await day.clock.sleep_ms(3000)
-        [plain] = day.plains
+        deployment = await Deployment.start(plains=1)
+        deployment.store.status = 503
+        await deployment.clock.sleep_ms(3000)
+        [plain] = deployment.plains
         row = runner_row(plain.address, PLAIN, 'a-1', born=1)
-        day.store.remove('servers', plain.instance)
-        day.store.status = 0
-        await day.clock.sleep_ms(1500)
-        assert (await day.call('/once/x')).status == 200
-        day.store.put('servers', plain.instance, row)
-        await day.clock.sleep_ms(5000)
-        assert not day.events('upstream-gone')
-        assert (await day.call('/once/x')).status == 200
+        deployment.store.remove('servers', plain.instance)
+        deployment.store.status = 0
+        await deployment.clock.sleep_ms(1500)
+        assert (await deployment.call('/once/x')).status == 200
+        deployment.store.put('servers', plain.instance, row)
+        await deployment.clock.sleep_ms(5000)
+        assert not deployment.events('upstream-gone')
+        assert (await deployment.call('/once/x')).status == 200
 
     run_in_memory(check())
 
 
 def test_draining_upstream_gets_no_new_work():
     async def check():
-        day = await Deployment.start(plains=2)
-        runner = day.plains[0]
+        deployment = await Deployment.start(plains=2)
+        runner = deployment.plains[0]
         row = {
             'service': 'plain-service',
             'address': runner.address,
@@ -645,104 +658,104 @@
             'state': 'draining',
             'born': 1,
         }
-        day.store.put('servers', runner.instance, row)
-        await day.clock.sleep_ms(1500)
+        deployment.store.put('servers', runner.instance, row)
+        await deployment.clock.sleep_ms(1500)
         before = len(runner.seen)
         for _ in range(8):
-            assert (await day.call('/once/x')).status == 200
+            assert (await deployment.call('/once/x')).status == 200
         assert len(runner.seen) == before
 
     run_in_memory(check())
 
 
-def test_address_of_another_incarnation_is_not_used_again():
+def test_request_is_retried_if_another_incarnation_has_the_address():
     async def check():
-        day = await Deployment.start(plains=2)
-        day.plains[0].instance = 'someone-else'
-        answers = [await day.call('/once/x') for _ in range(6)]
+        deployment = await Deployment.start(plains=2)
+        deployment.plains[0].instance = 'someone-else'
+        answers = [await deployment.call('/once/x') for _ in range(6)]
         assert {answer.status for answer in answers} == {200}
 
     run_in_memory(check())
 
 
-def test_run_ends_when_the_caller_leaves():
+def test_run_is_cancelled_when_the_caller_disconnects():
     async def check():
-        day = await Deployment.start()
-        connection = await day.connect()
-        connection.send(day.request('/stream/x'), b'')
-        await day.clock.sleep_ms(1000)
+        deployment = await Deployment.start()
+        connection = await deployment.connect()
+        connection.send(deployment.request('/stream/x'), b'')
+        await deployment.clock.sleep_ms(1000)
         connection.close()
-        left_ms = day.clock.now_ms()
-        await day.clock.sleep_ms(500)
-        seen = next(model.seen[0] for model in day.models if model.seen)
+        left_ms = deployment.clock.now_ms()
+        await deployment.clock.sleep_ms(500)
+        seen = next(model.seen[0] for model in deployment.models if model.seen)
         assert 0 < seen.ended_ms < left_ms + 100
-        assert day.ran(day.models) == 1
+        assert deployment.ran(deployment.models) == 1
 
     run_in_memory(check())
 
 
-def test_deadline_ends_a_request_that_waits():
+def test_request_ends_at_its_deadline():
     async def check():
-        day = await Deployment.start(plains=1)
-        day.plains[0].script.work_ms = 60_000
-        started_ms = day.clock.now_ms()
-        answer = await day.call('/once/x', remaining_ms=900)
+        deployment = await Deployment.start(plains=1)
+        deployment.plains[0].script.work_ms = 60_000
+        started_ms = deployment.clock.now_ms()
+        answer = await deployment.call('/once/x', remaining_ms=900)
         assert answer.status == 504
-        assert day.clock.now_ms() - started_ms < 1100
+        assert deployment.clock.now_ms() - started_ms < 1100
 
     run_in_memory(check())
 
 
 def test_drain_finishes_streams_and_closes_kept_connections():
     async def check():
-        day = await Deployment.start()
-        stream = asyncio.create_task(day.call('/stream/x'))
-        idle = await day.connect()
-        idle.send(day.request('/once/x'), b'')
-        await day.read(idle)
-        await day.clock.sleep_ms(500)
-        day.entries[0].stop()
-        during = await day.call('/once/x')
+        deployment = await Deployment.start()
+        stream = asyncio.create_task(deployment.call('/stream/x'))
+        idle = await deployment.connect()
+        idle.send(deployment.request('/once/x'), b'')
+        await deployment.read(idle)
+        await deployment.clock.sleep_ms(500)
+        deployment.entries[0].stop()
+        during = await deployment.call('/once/x')
         assert during.status == 200
         assert during.headers[b'connection'] == b'close'
-        ready = await _ready(day)
+        ready = await _ready(deployment)
         assert ready == 503
         answer = await stream
         assert answer.is_whole
-        await day.clock.sleep_ms(3000)
+        await deployment.clock.sleep_ms(3000)
         assert not idle.is_open
-        assert day.tasks[0].done()
+        assert deployment.tasks[0].done()
 
     run_in_memory(check())
 
 
 def test_late_stream_is_refused_while_draining():
     async def check():
-        day = await Deployment.start()
-        day.entries[0].stop()
-        await day.clock.sleep_ms(2000)
-        answer = await day.call('/stream/x')
+        deployment = await Deployment.start()
+        deployment.entries[0].stop()
+        await deployment.clock.sleep_ms(2000)
+        answer = await deployment.call('/stream/x')
         assert answer.status == 503
-        assert day.ran(day.models) == 0
+        assert deployment.ran(deployment.models) == 0
 
     run_in_memory(check())
 
 
-async def _ready(day) -> int:
-    connection = await day.connect('10.1.0.1:8001')
+async def _ready(deployment) -> int:
+    connection = await deployment.connect('10.1.0.1:8001')
     connection.send(b'GET /api/ready HTTP/1.1\r\nhost: x\r\n\r\n', b'')
-    return (await day.read(connection)).status
+    return (await deployment.read(connection)).status
 
 
-def test_metrics_tell_answers_refusals_and_times():
+def test_metrics_count_answers_refusals_and_times():
     async def check():
-        day = await Deployment.start()
-        await day.call('/once/x')
-        await day.call('/stream/x')
-        await day.call('/once/x', key='other')
-        connection = await day.connect('10.1.0.1:7000')
+        deployment = await Deployment.start()
+        await deployment.call('/once/x')
+        await deployment.call('/stream/x')
+        await deployment.call('/once/x', key='other')
+        connection = await deployment.connect('10.1.0.1:7000')
         connection.send(b'GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n', b'')
-        shown = (await day.read(connection)).body.decode()
+        shown = (await deployment.read(connection)).body.decode()
         assert 'relay_answers_total{status="200"} 2' in shown
         assert 'relay_refusals_total{reason="unknown-key"} 1' in shown
         assert 'relay_attempts_total{outcome="StreamEnded"} 1' in shown
@@ -752,79 +765,83 @@
     run_in_memory(check())
 
 
-def test_balancer_is_told_when_the_version_is_old():
+def test_readiness_check_fails_when_the_version_is_stale():
     async def check():
-        day = await Deployment.start()
-        assert await _ready(day) == 200
-        day.net.silent.add('10.200.1.7:8000')
-        await day.clock.sleep_ms(4600)
-        assert await _ready(day) == 503
+        deployment = await Deployment.start()
+        assert await _ready(deployment) == 200
+        deployment.net.silent.add('10.200.1.7:8000')
+        await deployment.clock.sleep_ms(4600)
+        assert await _ready(deployment) == 503
 
     run_in_memory(check())
 
 
 def test_outage_is_logged_once_at_its_start_and_once_at_its_end():
-    """An entry whose peers failed too once logged the store as regained."""
+    """An entry whose peers failed too once logged `store-regained`."""
 
     async def check():
-        day = await _two_entries()
-        day.store.status = 503
-        await day.clock.sleep_ms(6000)
-        lost = [told['table'] for told in day.events('store-lost')]
+        deployment = await _two_entries()
+        deployment.store.status = 503
+        await deployment.clock.sleep_ms(6000)
+        lost = [event['table'] for event in deployment.events('store-lost')]
         assert sorted(lost) in (['op', 'servers'], ['entries', 'op', 'servers'])
-        assert day.events('store-regained') == []
-        day.store.status = 0
-        await day.clock.sleep_ms(3000)
-        regained = [told['table'] for told in day.events('store-regained')]
+        assert deployment.events('store-regained') == []
+        deployment.store.status = 0
+        await deployment.clock.sleep_ms(3000)
+        regained = [
+            event['table'] for event in deployment.events('store-regained')
+        ]
         assert sorted(regained) == sorted(lost)
 
     run_in_memory(check())
 
 
 async def _two_entries() -> Deployment:
-    day = await Deployment.start()
-    await day.add_entry(settings('edge-a-2', number=2))
-    await day.clock.sleep_ms(3000)
-    return day
+    deployment = await Deployment.start()
+    await deployment.add_entry(settings('edge-a-2', number=2))
+    await deployment.clock.sleep_ms(3000)
+    return deployment
 
 
 def test_second_entry_follows_the_first():
     async def check():
-        day = await _two_entries()
-        day.store.calls.clear()
-        await day.clock.sleep_ms(5000)
-        alone = day.store.calls.count('/api/rows-feed')
-        assert alone <= 12
-        day.store.put('op', 'config', manifest(9, keys=('key-two',)))
-        await day.clock.sleep_ms(100)
+        deployment = await _two_entries()
+        deployment.store.calls.clear()
+        await deployment.clock.sleep_ms(5000)
+        feed_calls = deployment.store.calls.count('/api/rows-feed')
+        assert feed_calls <= 12
+        deployment.store.put('op', 'config', manifest(9, keys=('key-two',)))
+        await deployment.clock.sleep_ms(100)
         front = '10.1.0.2:8000'
-        answer = await day.call('/once/x', front, key='key-two')
+        answer = await deployment.call('/once/x', front, key='key-two')
         assert answer.status == 200
 
     run_in_memory(check())
 
 
-def test_follower_reads_the_store_when_the_first_entry_falls_silent():
-    """A ring of followers broke the bound for drains once (hunt, seed
-    784917696255 of trouble-1): it learned of a drain after 3.2 s."""
+def test_follower_reads_the_store_if_the_followed_entry_is_silent():
+    """Entries that followed each other once learned of a drain after 3.2 s.
+
+    Found by the fault search (seed 784917696255 of trouble-1).
+    """
 
     async def check():
-        day = await _two_entries()
-        day.net.silent.add('10.1.0.1:7001')
-        day.store.remove('servers', 'p0')
-        await day.clock.sleep_ms(2600)
-        gone = day.events('upstream-gone', entry=1)
-        assert [told['upstream'] for told in gone] == ['p0']
+        deployment = await _two_entries()
+        deployment.net.silent.add('10.1.0.1:7001')
+        deployment.store.remove('servers', 'p0')
+        await deployment.clock.sleep_ms(2600)
+        gone = deployment.events('upstream-gone', entry=1)
+        assert [event['upstream'] for event in gone] == ['p0']
 
     run_in_memory(check())
 
 
 def test_entry_does_not_follow_one_that_follows_another():
     async def check():
-        day = await _two_entries()
-        await day.add_entry(settings('edge-a-0', number=3))
-        await day.clock.sleep_ms(3000)
-        client = day.entries[2]._store
+        deployment = await _two_entries()
+        await deployment.add_entry(settings('edge-a-0', number=3))
+        await deployment.clock.sleep_ms(3000)
+        client = deployment.entries[2]._store
         with pytest.raises(StoreCallError, match='direct: False'):
             await client.follow('10.1.0.2:7001', 'servers', 10, 10, 5000)
         with pytest.raises(StoreCallError, match='ms old'):
@@ -833,10 +850,10 @@
     run_in_memory(check())
 
 
-def test_entry_cut_from_the_store_hears_through_another():
+def test_entry_cut_off_from_the_store_follows_another_entry():
     async def check():
-        day = await _two_entries()
-        connect = day.net.connect
+        deployment = await _two_entries()
+        connect = deployment.net.connect
 
         async def cut(factory, address):
             if address == '10.200.1.7:8000' and cutting:
@@ -844,15 +861,15 @@
             return await connect(factory, address)
 
         cutting = True
-        day.net.connect = cut
-        day.net.reset('10.200.1.7:8000')
-        await day.clock.sleep_ms(300)
+        deployment.net.connect = cut
+        deployment.net.reset('10.200.1.7:8000')
+        await deployment.clock.sleep_ms(300)
         cutting = False
-        await day.clock.sleep_ms(3000)
-        day.store.remove('servers', 'p0')
-        await day.clock.sleep_ms(2600)
+        await deployment.clock.sleep_ms(3000)
+        deployment.store.remove('servers', 'p0')
+        await deployment.clock.sleep_ms(2600)
         for entry in (0, 1):
-            gone = day.events('upstream-gone', entry=entry)
-            assert [told['upstream'] for told in gone] == ['p0']
+            gone = deployment.events('upstream-gone', entry=entry)
+            assert [event['upstream'] for event in gone] == ['p0']
 
     run_in_memory(check())
--- a/tests/test_transport_metrics.py
+++ b/tests/test_transport_metrics.py
@@ -8,7 +8,7 @@
 from bergamotthread.wire.messages import Cancel
 
 
-def test_counts_are_shown() -> None:
+def test_transport_counters_are_exposed() -> None:
     async def main() -> str:
         clock = Clock.from_system()
         transport = ZmqTransport.from_settings(
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams: framing, losses, surplus and foreign bytes."""
+"""Upstream connections: framing, losses, surplus bytes, other answers."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def _talk(parts: list[bytes], ends: str = ''):
-    """Return the items of the answer and whether the connection is fit."""
+    """Return the items of the answer and the connection."""
 
     async def talk():
         net = memory_network()
@@ -82,11 +82,13 @@
 
 
 def _body(items) -> bytes:
-    return b''.join(one.payload for one in items if isinstance(one, AnswerPart))
+    return b''.join(
+        part.payload for part in items if isinstance(part, AnswerPart)
+    )
 
 
 @pytest.mark.parametrize('answer', [WHOLE, CHUNKED])
-def test_whole_answer_leaves_the_connection_fit(answer):
+def test_connection_is_reusable_after_a_complete_answer(answer):
     items, connection = _talk([answer])
     assert isinstance(items[0], AnswerHead)
     assert isinstance(items[-1], AnswerEnd)
@@ -113,7 +115,7 @@
     assert not connection.is_reusable
 
 
-def test_answer_without_length_ends_with_a_close_but_not_with_a_reset():
+def test_answer_without_length_is_complete_at_a_close_not_at_a_reset():
     items, connection = _talk([TO_THE_END], 'close')
     assert isinstance(items[-1], AnswerEnd)
     assert _body(items) == b'body'
@@ -129,13 +131,13 @@
     assert not connection.is_reusable
 
 
-def test_surplus_that_arrives_later_makes_the_connection_unfit():
+def test_connection_is_not_reusable_after_later_surplus_bytes():
     items, connection = _talk([WHOLE, WHOLE])
     assert _body(items) == b'body'
     assert not connection.is_reusable
 
 
-def test_second_answer_in_the_same_packet_makes_it_unfit():
+def test_connection_is_not_reusable_after_a_second_answer():
     items, connection = _talk([WHOLE + WHOLE])
     assert _body(items) == b'body'
     assert not connection.is_reusable
@@ -149,7 +151,7 @@
     assert _body(items) == b'body'
 
 
-def test_foreign_answer_alone_is_no_answer():
+def test_answer_to_another_request_alone_times_out():
     items, _ = _talk([FOREIGN])
     assert items == [None]
 
@@ -165,27 +167,27 @@
     assert items[0].status == 200
 
 
-def test_timeout_of_kept_connections_is_read():
+def test_idle_timeout_is_read_from_the_keep_alive_field():
     answer = WHOLE.replace(OWN, OWN + b'keep-alive: timeout=7\r\n')
     _, connection = _talk([answer])
     assert connection.idle_timeout_ms == 7000
 
 
-def test_connection_that_says_close_is_not_used_again():
+def test_connection_is_not_reusable_after_connection_close():
     answer = WHOLE.replace(OWN, OWN + b'connection: close\r\n')
     _, connection = _talk([answer])
     assert not connection.is_reusable
 
 
-def _pool_day(check):
-    async def day():
+def _run_with_pool(check):
+    async def scenario():
         net = memory_network()
         clock = Clock.from_loop(net.loop)
         pool = UpstreamPool(clock, ECHO)
         net.listen(lambda: Scripted([WHOLE], ''), ADDRESS)
         await check(net, clock, pool)
 
-    run_in_memory(day())
+    run_in_memory(scenario())
 
 
 async def _use(pool: UpstreamPool) -> UpstreamConnection:
@@ -197,7 +199,7 @@
     return connection
 
 
-def test_pool_keeps_connections_for_a_while_only():
+def test_pool_reuses_connections_until_the_idle_limit():
     async def check(net, clock, pool):
         first = await _use(pool)
         assert await pool.acquire(ADDRESS) is first
@@ -206,19 +208,19 @@
         assert await pool.acquire(ADDRESS) is not first
         assert pool.opened == 2
 
-    _pool_day(check)
+    _run_with_pool(check)
 
 
-def test_pool_gives_no_connection_that_was_reset():
+def test_pool_does_not_reuse_a_reset_connection():
     async def check(net, clock, pool):
         first = await _use(pool)
         net.reset(ADDRESS)
         assert await pool.acquire(ADDRESS) is not first
 
-    _pool_day(check)
+    _run_with_pool(check)
 
 
-def test_pool_closes_a_connection_in_the_middle_of_an_answer():
+def test_pool_closes_a_connection_released_before_its_answer():
     async def check(net, clock, pool):
         connection = await pool.acquire(ADDRESS)
         connection.send(b'GET / HTTP/1.1\r\n\r\n', b'r1')
@@ -226,10 +228,10 @@
         await clock.sleep_ms(10)
         assert not connection.is_open
 
-    _pool_day(check)
+    _run_with_pool(check)
 
 
-def test_pool_says_that_nothing_was_sent():
+def test_pool_raises_if_no_connection_can_be_opened():
     async def check(net, clock, pool):
         net.kill(ADDRESS)
         with pytest.raises(ConnectFailedError, match=ADDRESS):
@@ -238,4 +240,4 @@
         with pytest.raises(ConnectFailedError, match=ADDRESS):
             await pool.acquire(ADDRESS)
 
-    _pool_day(check)
+    _run_with_pool(check)
--- a/tests/test_zmq_transport.py
+++ b/tests/test_zmq_transport.py
@@ -51,30 +51,30 @@
     asyncio.run(bounded())
 
 
-async def _exchange(one: ZmqTransport, other: ZmqTransport) -> None:
+async def _exchange(first: ZmqTransport, second: ZmqTransport) -> None:
     received: list[Envelope] = []
-    one.start(received.append)
-    other.start(received.append)
-    one.send(other.address, Cancel('g', 1))
-    other.send(one.address, Cancel('h', 2))
+    first.start(received.append)
+    second.start(received.append)
+    first.send(second.address, Cancel('g', 1))
+    second.send(first.address, Cancel('h', 2))
     await _until(lambda: len(received) == 2)
     assert {(env.sender, env.message) for env in received} == {
-        (one.address, Cancel('g', 1)),
-        (other.address, Cancel('h', 2)),
+        (first.address, Cancel('g', 1)),
+        (second.address, Cancel('h', 2)),
     }
-    one.close()
-    other.close()
+    first.close()
+    second.close()
 
 
 @pytest.mark.parametrize('address', ['127.0.0.1:0', '[::1]:0'])
-def test_messages_pass_both_ways(address: str) -> None:
+def test_messages_are_sent_in_both_directions(address: str) -> None:
     async def main() -> None:
         await _exchange(_transport(address), _transport(address))
 
     _run(main())
 
 
-def test_curve_peers_with_accepted_keys_talk() -> None:
+def test_peers_with_accepted_curve_keys_exchange_messages() -> None:
     async def main() -> None:
         keys = _curve_keys()
         await _exchange(_transport(keys=keys), _transport(keys=keys))
@@ -82,35 +82,37 @@
     _run(main())
 
 
-def test_burst_keeps_order_and_spans_wake_ups() -> None:
+def test_burst_of_several_wake_ups_keeps_its_order() -> None:
     async def main() -> None:
         count = 3 * zmq_transport.MESSAGES_PER_WAKE_UP
         received: list[Envelope] = []
-        one, other = _transport(), _transport()
-        other.start(received.append)
+        sender, receiver = _transport(), _transport()
+        receiver.start(received.append)
         for attempt in range(count):
-            one.send(other.address, Cancel('g', attempt))
+            sender.send(receiver.address, Cancel('g', attempt))
         await _until(lambda: len(received) == count)
         order = [envelope.message.attempt for envelope in received]
         assert order == list(range(count))
-        one.close()
-        other.close()
+        sender.close()
+        receiver.close()
 
     _run(main())
 
 
-def test_full_queue_drops_and_counts(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_messages_beyond_a_full_queue_are_dropped_and_counted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(outgoing, 'SEND_QUEUE_MESSAGES', 5)
 
     async def main() -> None:
         with sockets.create_server(('127.0.0.1', 0)) as silent:
             peer = f'127.0.0.1:{silent.getsockname()[1]}'
-            one = _transport()
+            transport = _transport()
             for attempt in range(8):
-                one.send(peer, Cancel('g', attempt))
-            assert one.counters.sent == 5
-            assert one.counters.dropped_by_peer == {peer: 3}
-            one.close()
+                transport.send(peer, Cancel('g', attempt))
+            assert transport.counters.sent == 5
+            assert transport.counters.dropped_by_peer == {peer: 3}
+            transport.close()
 
     _run(main())
 
@@ -118,24 +120,24 @@
 def test_reconnects_to_a_replaced_peer() -> None:
     async def main() -> None:
         received: list[Envelope] = []
-        one, other = _transport(), _transport()
-        address = other.address
-        other.start(received.append)
-        one.send(address, Cancel('g', 1))
+        sender, receiver = _transport(), _transport()
+        address = receiver.address
+        receiver.start(received.append)
+        sender.send(address, Cancel('g', 1))
         await _until(lambda: len(received) == 1)
-        other.close()
-        other = _transport(address)
-        other.start(received.append)
+        receiver.close()
+        receiver = _transport(address)
+        receiver.start(received.append)
         while len(received) == 1:
-            one.send(address, Cancel('g', 2))
+            sender.send(address, Cancel('g', 2))
             await asyncio.sleep(0.02)
-        one.close()
-        other.close()
+        sender.close()
+        receiver.close()
 
     _run(main())
 
 
-def _connect_stranger(
+def _connect_unknown_peer(
     context: zmq.Context[zmq.Socket[bytes]],
     peer: ZmqTransport,
     server_key: str,
@@ -152,95 +154,108 @@
 
 
 @pytest.mark.parametrize('knows_server_key', [True, False])
-def test_stranger_is_refused(knows_server_key: bool) -> None:
+def test_peer_without_an_accepted_key_is_refused(
+    knows_server_key: bool,
+) -> None:
     async def main() -> None:
         received: list[Envelope] = []
         keys = _curve_keys()
-        one, friend = _transport(keys=keys), _transport(keys=keys)
-        one.start(received.append)
+        receiver, friend = _transport(keys=keys), _transport(keys=keys)
+        receiver.start(received.append)
         server_key = keys.curve_public if knows_server_key else ''
         with (
             zmq.Context() as context,
-            _connect_stranger(context, one, server_key),
+            _connect_unknown_peer(context, receiver, server_key),
         ):
-            await _until(lambda: one.refused_peers >= 1)
-            friend.send(one.address, Cancel('friend', 1))
+            await _until(lambda: receiver.refused_peers >= 1)
+            friend.send(receiver.address, Cancel('friend', 1))
             await _until(lambda: bool(received))
         assert [env.message.generation for env in received] == ['friend']
-        one.close()
+        receiver.close()
         friend.close()
 
     _run(main())
 
 
 @pytest.mark.parametrize('new_sends', [True, False])
-def test_keys_rotate_while_old_and_new_run(new_sends: bool) -> None:
+def test_old_and_new_keys_work_together_during_a_rotation(
+    new_sends: bool,
+) -> None:
     async def main() -> None:
         received: list[Envelope] = []
         old = _curve_keys()
         new = _curve_keys(old.curve_public)
         old = msgspec.structs.replace(old, curve_accepted=(new.curve_public,))
-        one, other = _transport(keys=old), _transport(keys=new)
-        sender, receiver = (other, one) if new_sends else (one, other)
+        old_transport, new_transport = (
+            _transport(keys=old),
+            _transport(keys=new),
+        )
+        sender, receiver = (
+            (new_transport, old_transport)
+            if new_sends
+            else (old_transport, new_transport)
+        )
         sender.start(received.append)
         receiver.start(received.append)
         while not received:
             sender.send(receiver.address, Cancel('g', 1))
             await asyncio.sleep(0.02)
-        one.close()
-        other.close()
+        old_transport.close()
+        new_transport.close()
 
     _run(main())
 
 
-def test_garbage_is_counted_and_survived() -> None:
+def test_undecodable_message_is_counted_and_later_ones_arrive() -> None:
     async def main() -> None:
         received: list[Envelope] = []
-        one, other = _transport(), _transport()
-        other.start(received.append)
+        sender, receiver = _transport(), _transport()
+        receiver.start(received.append)
         with zmq.Context() as context, context.socket(zmq.PUSH) as push:
-            push.connect(f'tcp://{other.address}')
+            push.connect(f'tcp://{receiver.address}')
             push.send(b'garbage')
-            await _until(lambda: other.counters.undecodable == 1)
-        one.send(other.address, Cancel('g', 1))
+            await _until(lambda: receiver.counters.undecodable == 1)
+        sender.send(receiver.address, Cancel('g', 1))
         await _until(lambda: len(received) == 1)
-        one.close()
-        other.close()
+        sender.close()
+        receiver.close()
 
     _run(main())
 
 
-def test_host_name_is_dropped_not_resolved() -> None:
+def test_message_to_a_host_name_is_dropped() -> None:
     async def main() -> None:
-        one = _transport()
-        one.send('localhost:7001', Cancel('g', 1))
-        assert one.counters.dropped_by_peer == {'localhost:7001': 1}
-        assert one.open_peers == 0
-        one.close()
+        transport = _transport()
+        transport.send('localhost:7001', Cancel('g', 1))
+        assert transport.counters.dropped_by_peer == {'localhost:7001': 1}
+        assert transport.open_peers == 0
+        transport.close()
 
     _run(main())
 
 
-def test_taken_address_is_one_error() -> None:
+def test_bind_error_names_the_taken_address() -> None:
     async def main() -> None:
-        one = _transport()
-        with pytest.raises(BergamotError, match=one.address):
-            _transport(one.address)
-        one.close()
+        transport = _transport()
+        with pytest.raises(BergamotError, match=transport.address):
+            _transport(transport.address)
+        transport.close()
 
     _run(main())
 
 
-def test_idle_peer_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_socket_of_an_idle_peer_is_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(zmq_transport, 'IDLE_TIMEOUT_MS', 20)
 
     async def main() -> None:
-        one, other = _transport(), _transport()
-        one.start(lambda envelope: None)
-        one.send(other.address, Cancel('g', 1))
-        assert one.open_peers == 1
-        await _until(lambda: one.open_peers == 0)
-        one.close()
-        other.close()
+        sender, receiver = _transport(), _transport()
+        sender.start(lambda envelope: None)
+        sender.send(receiver.address, Cancel('g', 1))
+        assert sender.open_peers == 1
+        await _until(lambda: sender.open_peers == 0)
+        sender.close()
+        receiver.close()
 
     _run(main())
