--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -42,7 +42,8 @@
     oldest
         Version after which the changes are kept.
     confirmed_ms
-        Boot clock time up to which all writes are known.
+        Boot clock time, which includes suspension, up to which all writes are
+        known.
     is_direct
         Whether the latest changes came from the store itself.
     """
@@ -56,7 +57,13 @@
     _news: asyncio.Event = field(default_factory=asyncio.Event)
 
     def restart(self, version: int, asked_ms: float) -> None:
-        """Drop all changes after the whole table was read at a version."""
+        """Drop all changes after the whole table was read at a version.
+
+        Parameters
+        ----------
+        asked_ms
+            Boot clock time at which the read was requested.
+        """
         self._changes.clear()
         self.oldest = version
         self.is_direct = True
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -52,11 +52,11 @@
 # poll of the store, which ends within this time after its wait.
 FOLLOW_MARGIN_MS = 300
 REGISTER_RETRY_MS = 3000
-# After an outage, a row that is missing may only have lapsed in it. The users
-# state that such rows are back within two seconds of the return of the store.
-# The time counts from the last failed call to the store and not from the
-# removal of the row, so that an upstream that is gone for good gets no work
-# past the bound on drains.
+# A row that is missing after an outage of the store may have lapsed during the
+# outage, although its runner lives. The users say that such rows are back
+# within two seconds of the store's return. The time counts from the last failed
+# call to the store and not from the removal of the row, so that an upstream
+# that is gone for good gets no work past the bound on drains.
 LAPSED_ROW_MS = 2500
 
 
@@ -126,7 +126,13 @@
 
     @abstractmethod
     def confirmed(self, asked_ms: float) -> None:
-        """Note that all writes before `asked_ms` are known."""
+        """Note that all writes before `asked_ms` are known.
+
+        Parameters
+        ----------
+        asked_ms
+            Boot clock time at which the rows were requested.
+        """
 
     @abstractmethod
     def lost(self) -> None:
