--- a/bergamotthread/process/routing/__init__.py
+++ b/bergamotthread/process/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Where an attempt goes.
+"""Selection of the upstream for each attempt.
 
-Decided from load reports, own dispatches, cached prefixes and price.
+Based on load reports, own dispatches, cached prefixes and traffic cost.
 """
--- a/bergamotthread/process/routing/agent_roster.py
+++ b/bergamotthread/process/routing/agent_roster.py
@@ -1,4 +1,4 @@
-"""Agents that an entry knows: published ones, and when each was heard."""
+"""Published agents, and when each was last heard from."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 class AgentRoster:
     """Published agents with the incarnation and time of their last frame.
 
-    An agent exists because it is published; frames only tell that it is
-    there now. Entries hear from the agents of their subset alone, so silence
-    of others means nothing.
+    The published version determines which agents exist; a frame only shows
+    that an agent is running. An entry receives frames only from the agents of
+    its subset, so silence of the others has no meaning.
 
     Parameters
     ----------
@@ -53,16 +53,23 @@
         return self._places_by_model.get(model, ())
 
     def note_heard(self, agent: str, incarnation: int) -> bool:
-        """Take in a frame; return False if it is of an earlier process."""
-        known = self._incarnation_by_agent.get(agent, incarnation)
-        if incarnation < known or agent not in self._agents:
+        """Record a frame of an agent.
+
+        Returns
+        -------
+        bool
+            False if the frame is from an earlier process of the agent or the
+            agent is not published.
+        """
+        newest = self._incarnation_by_agent.get(agent, incarnation)
+        if incarnation < newest or agent not in self._agents:
             return False
         self._incarnation_by_agent[agent] = incarnation
         self._heard_ms_by_agent[agent] = self._clock.now_ms()
         return True
 
     def silent(self, agents: Iterable[str], limit_ms: float) -> frozenset[str]:
-        """Return those of `agents` that were not heard for `limit_ms`."""
+        """Return those of `agents` not heard from for `limit_ms`."""
         now_ms = self._clock.now_ms()
         return frozenset(
             agent
@@ -73,8 +80,8 @@
 
     def _forget_unpublished(
         self,
-        known: dict[str, float] | dict[str, int],
+        value_by_agent: dict[str, float] | dict[str, int],
     ) -> None:
-        for agent in tuple(known):
+        for agent in tuple(value_by_agent):
             if agent not in self._agents:
-                known.pop(agent)
+                value_by_agent.pop(agent)
--- a/bergamotthread/process/routing/availability.py
+++ b/bergamotthread/process/routing/availability.py
@@ -1,4 +1,4 @@
-"""Which agents may be given work now."""
+"""Availability of agents for new work."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 @dataclass
 class Availability:
-    """Lost, draining, leaving and stopping agents, and recent losses."""
+    """Tracks lost, draining, leaving and stopping agents.
+
+    A failure domain with recent losses is avoided for `DOMAIN_AVOIDANCE_MS`.
+    """
 
     clock: Clock
     pool: UpstreamPool
@@ -24,7 +27,7 @@
     _lost_ms_by_agent: dict[str, float] = field(default_factory=dict)
 
     def accepts(self, agent: str) -> bool:
-        """Return whether an agent may be given work."""
+        """Return whether an agent is available for new work."""
         return not (
             agent in self._lost
             or agent in self.leaving
@@ -33,11 +36,11 @@
         )
 
     def record_heard(self, agent: str) -> None:
-        """Use an agent again that was lost."""
+        """Mark a lost agent as available again."""
         self._lost.discard(agent)
 
     def record_loss(self, agent: str) -> None:
-        """Avoid an agent until heard from, and its failure domain a while."""
+        """Exclude an agent until heard from; avoid its domain for a while."""
         self._lost.add(agent)
         self._lost_ms_by_agent[agent] = self.clock.now_ms()
 
--- a/bergamotthread/process/routing/load_view.py
+++ b/bergamotthread/process/routing/load_view.py
@@ -1,4 +1,7 @@
-"""Load of each agent's upstream, from late reports and own dispatches."""
+"""Estimated load of each agent's upstream.
+
+Estimates combine delayed load reports with own dispatches.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,7 @@
 
 
 class LoadEstimate(msgspec.Struct, frozen=True, gc=False):
-    """Expected load of one upstream now.
-
-    `prefill_ms` is the time that the prefill ahead of a new attempt takes,
-    `kv_share` the share of the cache in use; both count own dispatches.
-    """
+    """Expected current load of one upstream, with own dispatches included."""
 
     running: float = 0
     queued: float = 0
@@ -32,12 +31,12 @@
 
     @property
     def prefill_ms(self) -> float:
-        """Return the time in milliseconds that the prefill ahead takes."""
+        """Return the time that the prefill ahead of a new attempt takes."""
         return self.prefill_tokens / self.prefill_per_s * _MS_PER_S
 
     @property
     def kv_share(self) -> float:
-        """Return the share of the cache in use, 0 where unknown."""
+        """Return the fraction of the KV cache in use, 0 if unknown."""
         return self.kv_tokens / self.kv_capacity if self.kv_capacity else 0
 
 
@@ -57,10 +56,11 @@
 
 @dataclass
 class LoadView:
-    """Estimates the load of every agent that reports or is dispatched to.
+    """Estimates the load of all agents that report or receive dispatches.
 
-    A report is weighted by its age, with a half-life, against the mean of all
-    reports; own dispatches that a report can't show yet are added in full.
+    The estimate is a weighted mean of the agent's report and the mean of all
+    reports; the weight of the former halves every `half_life_ms`. Own
+    dispatches that the report can't include yet are added in full.
     """
 
     clock: Clock
@@ -70,7 +70,7 @@
     _mean_ms: float = -math.inf
 
     def record_report(self, agent: str, report: LoadReport) -> None:
-        """Take in a report that arrived now, unless a newer one is known."""
+        """Record a report that has just arrived, unless it is outdated."""
         load = self._load_by_agent.setdefault(agent, _AgentLoad())
         sampled_ms = self.clock.now_ms() - report.age_ms
         if sampled_ms >= load.sampled_ms:
@@ -84,7 +84,7 @@
         kv_tokens: int,
         prefill_tokens: int,
     ) -> None:
-        """Add an own dispatch that no report shows yet."""
+        """Record an own dispatch that no report includes yet."""
         load = self._load_by_agent.setdefault(agent, _AgentLoad())
         load.own_by_generation[generation] = _OwnDispatch(
             sent_ms=self.clock.now_ms(),
@@ -99,7 +99,7 @@
             load.own_by_generation.pop(generation, None)
 
     def is_draining(self, agent: str) -> bool:
-        """Return whether the newest report says that the agent drains."""
+        """Return whether the agent is draining by its newest report."""
         load = self._load_by_agent.get(agent)
         return load is not None and load.report.draining
 
@@ -109,19 +109,21 @@
         if load is None:
             return self._fleet_mean()
         age_ms = self.clock.now_ms() - load.sampled_ms
-        trust = 2 ** (-age_ms / self.half_life_ms)
-        estimate = _blend(_as_estimate(load.report), self._fleet_mean(), trust)
+        report_weight = 2 ** (-age_ms / self.half_life_ms)
+        estimate = _blend(
+            _as_estimate(load.report), self._fleet_mean(), report_weight
+        )
         return _add_own(estimate, _unseen(load))
 
     def attempts(self, agent: str) -> int:
-        """Return the attempts at an agent, as reported and sent since."""
+        """Return the attempts at an agent: reported, and sent since then."""
         load = self._load_by_agent.get(agent)
         if load is None:
             return 0
         return load.report.running + load.report.queued + len(_unseen(load))
 
     def forget(self, agent: str) -> None:
-        """Drop what is known of an agent."""
+        """Remove the load of an agent."""
         self._load_by_agent.pop(agent, None)
 
     def _fleet_mean(self) -> LoadEstimate:
@@ -144,17 +146,19 @@
 
 
 def _mean_of(loads: tuple[_AgentLoad, ...]) -> LoadEstimate:
-    known = [load.report for load in loads if load.sampled_ms > -math.inf]
-    if not known:
+    reports = [load.report for load in loads if load.sampled_ms > -math.inf]
+    if not reports:
         return LoadEstimate()
-    count = len(known)
-    rates = [one.prefill_per_s or DEFAULT_PREFILL_PER_S for one in known]
+    count = len(reports)
+    rates = [
+        report.prefill_per_s or DEFAULT_PREFILL_PER_S for report in reports
+    ]
     return LoadEstimate(
-        running=sum(one.running for one in known) / count,
-        queued=sum(one.queued for one in known) / count,
-        kv_tokens=sum(one.kv_tokens for one in known) / count,
-        kv_capacity=sum(one.kv_capacity for one in known) / count,
-        prefill_tokens=sum(one.prefill_tokens for one in known) / count,
+        running=sum(report.running for report in reports) / count,
+        queued=sum(report.queued for report in reports) / count,
+        kv_tokens=sum(report.kv_tokens for report in reports) / count,
+        kv_capacity=sum(report.kv_capacity for report in reports) / count,
+        prefill_tokens=sum(report.prefill_tokens for report in reports) / count,
         prefill_per_s=sum(rates) / count,
     )
 
@@ -162,16 +166,18 @@
 def _blend(
     reported: LoadEstimate,
     mean: LoadEstimate,
-    trust: float,
+    report_weight: float,
 ) -> LoadEstimate:
-    doubt = 1 - trust
+    mean_weight = 1 - report_weight
     return LoadEstimate(
-        running=trust * reported.running + doubt * mean.running,
-        queued=trust * reported.queued + doubt * mean.queued,
-        kv_tokens=trust * reported.kv_tokens + doubt * mean.kv_tokens,
+        running=report_weight * reported.running + mean_weight * mean.running,
+        queued=report_weight * reported.queued + mean_weight * mean.queued,
+        kv_tokens=report_weight * reported.kv_tokens
+        + mean_weight * mean.kv_tokens,
         kv_capacity=reported.kv_capacity or mean.kv_capacity,
         prefill_tokens=(
-            trust * reported.prefill_tokens + doubt * mean.prefill_tokens
+            report_weight * reported.prefill_tokens
+            + mean_weight * mean.prefill_tokens
         ),
         prefill_per_s=reported.prefill_per_s,
     )
@@ -180,15 +186,15 @@
 def _unseen(load: _AgentLoad) -> tuple[_OwnDispatch, ...]:
     since_ms = load.sampled_ms - REPORT_TRANSIT_MS
     own = load.own_by_generation.values()
-    return tuple(one for one in own if one.sent_ms > since_ms)
+    return tuple(dispatch for dispatch in own if dispatch.sent_ms > since_ms)
 
 
 def _add_own(
     estimate: LoadEstimate,
     own: tuple[_OwnDispatch, ...],
 ) -> LoadEstimate:
-    kv_tokens = sum(one.kv_tokens for one in own)
-    prefill_tokens = sum(one.prefill_tokens for one in own)
+    kv_tokens = sum(dispatch.kv_tokens for dispatch in own)
+    prefill_tokens = sum(dispatch.prefill_tokens for dispatch in own)
     return LoadEstimate(
         running=estimate.running + len(own),
         queued=estimate.queued,
--- a/bergamotthread/process/routing/pin_demand.py
+++ b/bergamotthread/process/routing/pin_demand.py
@@ -1,4 +1,4 @@
-"""Demand of each pin as one entry sees it."""
+"""Demand for each pin at one entry."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class PinDemand:
-    """Rate of new generations by pin, exponentially averaged."""
+    """Exponential average of the rate of new generations, by pin.
+
+    The average has the time constant `TIME_CONSTANT_MS`.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -25,7 +28,7 @@
         self._weight_by_pin[pin] = self._weight_by_pin.get(pin, 0) + 1
 
     def per_s(self) -> dict[Pin, float]:
-        """Return the demand of each pin, in requests per second."""
+        """Return the demand for each pin, in requests per second."""
         self._decay()
         seconds = TIME_CONSTANT_MS / _MS_PER_S
         return {
--- a/bergamotthread/process/routing/placement.py
+++ b/bergamotthread/process/routing/placement.py
@@ -1,4 +1,4 @@
-"""Choice of the upstream for an attempt."""
+"""Interface of the strategies that select the upstream of an attempt."""
 
 from __future__ import annotations
 
@@ -11,20 +11,25 @@
 
 @dataclass(frozen=True)
 class PlacementRequest:
-    """What the choice of an upstream depends on.
+    """Attempt to place, with the properties that the selection depends on.
 
     Parameters
     ----------
     prompt_tokens, accepted_tokens
-        Lengths of the prompt and of the output that the caller already has.
+        Tokens of the prompt and of the output that the caller already has.
     prefix_hashes
         Chained hashes of the prompt's blocks, shortest prefix first.
     excluded
-        Agents that lost an attempt of this generation or declined it.
-    apart_from
-        Agent in whose failure domain no upstream is wanted.
+        Agents that lost or declined an attempt of this generation.
     resume
         Whether the attempt continues a generation after a loss.
+    cross_region
+        Whether upstreams outside the own region may be used.
+    regions
+        Regions that may be used; empty for all.
+    apart_from
+        Agent whose failure domain is avoided where others are left; empty for
+        none.
     """
 
     generation: str
@@ -41,7 +46,7 @@
 
 
 class Placement(abc.ABC):
-    """Chooses agents and learns from load reports and own dispatches."""
+    """Selects agents, based on load reports and own dispatches."""
 
     @abc.abstractmethod
     def choose(self, request: PlacementRequest) -> str:
@@ -50,11 +55,11 @@
         Raises
         ------
         RefusedError
-            If no upstream may run the pin now.
+            If no upstream can run the pin now.
         """
 
     def accepts(self, agent: str) -> bool:
-        """Return whether a known agent may be given work."""
+        """Return whether a known agent is available for new work."""
         return True
 
     @abc.abstractmethod
@@ -62,25 +67,25 @@
         """Return the failure domain of an agent, empty if unknown."""
 
     def utilisation(self, pin: Pin) -> float:
-        """Return attempts over slots of the upstreams, 0 if unknown."""
+        """Return the attempts per slot of the upstreams, 0 if unknown."""
         return 0
 
     @abc.abstractmethod
     def publish(self, published: PublishedVersion) -> None:
-        """Move on to the upstreams of a newer version."""
+        """Switch to the upstreams of a newer version."""
 
     @abc.abstractmethod
     def record_load(self, agent: str, load: LoadReport) -> None:
-        """Take in a load report that arrived now."""
+        """Record a load report that has just arrived."""
 
     @abc.abstractmethod
     def record_dispatch(self, agent: str, request: PlacementRequest) -> None:
-        """Count an attempt that was sent to `agent`."""
+        """Record that an attempt was sent to `agent`."""
 
     @abc.abstractmethod
     def record_end(self, agent: str, request: PlacementRequest) -> None:
-        """Uncount an attempt that ended at `agent`."""
+        """Record that an attempt at `agent` has ended."""
 
     @abc.abstractmethod
     def record_loss(self, agent: str) -> None:
-        """Avoid an agent until it is heard from again."""
+        """Exclude an agent until it is heard from again."""
--- a/bergamotthread/process/routing/placement_score.py
+++ b/bergamotthread/process/routing/placement_score.py
@@ -1,4 +1,4 @@
-"""Cost in milliseconds of running an attempt on an upstream."""
+"""Cost of running an attempt on an upstream, in milliseconds."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 @dataclass(frozen=True)
 class ScoreWeights:
-    """Exchange rates of the score's terms into milliseconds.
+    """Weights that convert the terms of the score into milliseconds.
 
     Parameters
     ----------
     queued_ms
         Expected wait for each attempt that is queued or above `max_running`.
     running_ms
-        Slowdown by each attempt that already runs.
+        Slowdown caused by each attempt that already runs.
     kv_full_ms
-        Cost of a full cache; grows with the square of the share in use.
+        Cost of a full KV cache; scales with the square of the fraction in use.
     cost_unit_ms
-        Delay that is worth one cost unit of paid cross-region traffic.
+        Delay that is equivalent to one cost unit of cross-region traffic.
+    cross_region_ms
+        Fixed cost of a dispatch to another region.
     """
 
     queued_ms: float = 1000
@@ -38,44 +40,56 @@
 
 @dataclass(frozen=True)
 class Attempted:
-    """Attempt to place, with the tokens that an upstream must prefill."""
+    """Tokens of an attempt that is to be placed.
+
+    Parameters
+    ----------
+    kv_tokens
+        Tokens that the attempt adds to the KV cache.
+    uncovered_tokens
+        Tokens that the upstream must prefill.
+    """
 
     kv_tokens: int
     uncovered_tokens: int
 
 
 def uncovered_tokens(request: PlacementRequest, covered_blocks: int) -> int:
-    """Return the tokens to prefill when leading blocks are cached."""
+    """Return the tokens to prefill, given the number of cached blocks."""
     total = request.prompt_tokens + request.accepted_tokens
     if not request.prefix_hashes:
         return total
-    share = covered_blocks / len(request.prefix_hashes)
-    return total - int(request.prompt_tokens * share)
+    covered_fraction = covered_blocks / len(request.prefix_hashes)
+    return total - int(request.prompt_tokens * covered_fraction)
 
 
 def score_ms(
-    attempted: Attempted,
+    attempt: Attempted,
     load: LoadEstimate,
     target: Target,
     weights: ScoreWeights,
 ) -> float:
-    """Return the expected time to the first token and the harm to others."""
-    own_prefill_s = attempted.uncovered_tokens / load.prefill_per_s
+    """Return the cost of running an attempt on a target.
+
+    It is the sum of the expected time to the first token, the slowdown by the
+    attempts that already run, and a penalty for a full KV cache.
+    """
+    own_prefill_s = attempt.uncovered_tokens / load.prefill_per_s
     prefill_ms = load.prefill_ms + own_prefill_s * _MS_PER_S
-    surplus = max(0, load.running + 1 - target.max_running)
-    kv_share = _kv_share(attempted, load, target)
-    queue_ms = prefill_ms + (load.queued + surplus) * weights.queued_ms
-    harm_ms = load.running * weights.running_ms
-    return queue_ms + harm_ms + kv_share**2 * weights.kv_full_ms
+    excess = max(0, load.running + 1 - target.max_running)
+    kv_fraction = _kv_share(attempt, load, target)
+    queue_ms = prefill_ms + (load.queued + excess) * weights.queued_ms
+    slowdown_ms = load.running * weights.running_ms
+    return queue_ms + slowdown_ms + kv_fraction**2 * weights.kv_full_ms
 
 
 def _kv_share(
-    attempted: Attempted,
+    attempt: Attempted,
     load: LoadEstimate,
     target: Target,
 ) -> float:
     capacity = load.kv_capacity or target.kv_capacity
-    return (load.kv_tokens + attempted.kv_tokens) / max(capacity, 1)
+    return (load.kv_tokens + attempt.kv_tokens) / max(capacity, 1)
 
 
 def region_cost_ms(
@@ -85,5 +99,5 @@
 ) -> float:
     """Return the cost of dispatching to another region."""
     tokens = request.prompt_tokens + request.accepted_tokens
-    paid = tokens * BYTES_PER_TOKEN / _BYTES_PER_GB * price_per_gb
-    return weights.cross_region_ms + paid * weights.cost_unit_ms
+    cost = tokens * BYTES_PER_TOKEN / _BYTES_PER_GB * price_per_gb
+    return weights.cross_region_ms + cost * weights.cost_unit_ms
--- a/bergamotthread/process/routing/prefix_hash.py
+++ b/bergamotthread/process/routing/prefix_hash.py
@@ -1,4 +1,4 @@
-"""Chained hashes of a prompt's blocks and a view of which agent caches them."""
+"""Chained hashes of prompt blocks, and an estimate of who caches them."""
 
 from __future__ import annotations
 
@@ -16,33 +16,39 @@
 def block_hashes(prompt: str, pin_key: str = '') -> tuple[int, ...]:
     """Return chained 64-bit hashes of the prompt's full blocks.
 
-    Hash `n` covers blocks 0 to `n`, so that equal hashes mean equal prefixes.
+    Hash `n` covers blocks 0 to `n`, so equal hashes mean equal prefixes.
 
     Parameters
     ----------
     prompt
         Text of the prompt.
     pin_key
-        Seed of the chain; prefixes of different models never match.
+        Seed of the chain, so that prefixes of different models never match.
     """
-    previous = xxhash.xxh64_intdigest(pin_key.encode())
-    chained: list[int] = []
+    chain_hash = xxhash.xxh64_intdigest(pin_key.encode())
+    hashes: list[int] = []
     ends = range(PREFIX_BLOCK_CHARS, len(prompt) + 1, PREFIX_BLOCK_CHARS)
     for end in ends[:PREFIX_BLOCKS_MAX]:
         block = prompt[end - PREFIX_BLOCK_CHARS : end]
-        previous = xxhash.xxh64_intdigest(block.encode(), seed=previous)
-        chained.append(previous)
-    return tuple(chained)
+        chain_hash = xxhash.xxh64_intdigest(block.encode(), seed=chain_hash)
+        hashes.append(chain_hash)
+    return tuple(hashes)
 
 
 @dataclass
 class PrefixView:
-    """Prefixes that each agent probably caches.
+    """Estimate of the prefixes that each agent's engine caches.
 
-    Chained hashes make it robust against missing events: one known hash
-    implies all shorter prefixes. Each agent's hashes are bounded by what its
-    engine can hold, and the least recently used go first, as in the engines: a
-    view that forgets too late sees every prefix everywhere.
+    A known hash implies all shorter prefixes, since hashes are chained, so a
+    missed event does little harm. The number of hashes per agent is limited to
+    what its engine can cache, and the least recently used are evicted first,
+    as the engines do. A view that evicts later than the engines would report
+    every prefix as cached everywhere.
+
+    Parameters
+    ----------
+    hashes_max
+        Hashes kept per agent at most, whatever its engine can cache.
     """
 
     hashes_max: int = CACHED_HASHES_MAX
@@ -53,49 +59,49 @@
     _agents_by_hash: dict[int, set[str]] = field(default_factory=dict)
 
     def bound(self, agent: str, kv_capacity: int) -> None:
-        """Set the bound of an agent from its engine's cache, in tokens."""
+        """Limit an agent's hashes to its engine's KV cache, in tokens."""
         blocks = kv_capacity // PREFIX_BLOCK_TOKENS
         self._hashes_max_by_agent[agent] = min(blocks, self.hashes_max)
 
     def record(self, agent: str, prefix_hashes: tuple[int, ...]) -> None:
-        """Take in that an agent caches, or soon will, these prefixes."""
-        held = self._hashes_by_agent.setdefault(agent, OrderedDict())
-        for one in prefix_hashes:
-            held[one] = None
-            held.move_to_end(one)
-            self._agents_by_hash.setdefault(one, set()).add(agent)
-        bound = self._hashes_max_by_agent.get(agent, self.hashes_max)
-        while len(held) > bound:
-            evicted, _ = held.popitem(last=False)
+        """Record that an agent caches these prefixes or soon will."""
+        cached = self._hashes_by_agent.setdefault(agent, OrderedDict())
+        for prefix_hash in prefix_hashes:
+            cached[prefix_hash] = None
+            cached.move_to_end(prefix_hash)
+            self._agents_by_hash.setdefault(prefix_hash, set()).add(agent)
+        limit = self._hashes_max_by_agent.get(agent, self.hashes_max)
+        while len(cached) > limit:
+            evicted, _ = cached.popitem(last=False)
             self._drop(agent, evicted)
 
     def forget(self, agent: str) -> None:
-        """Drop all hashes of an agent, whose engine was lost."""
-        for one in self._hashes_by_agent.pop(agent, ()):
-            self._drop(agent, one)
+        """Remove all hashes of an agent whose engine was lost."""
+        for prefix_hash in self._hashes_by_agent.pop(agent, ()):
+            self._drop(agent, prefix_hash)
 
     def covered_blocks(self, agent: str, prefix_hashes: tuple[int, ...]) -> int:
-        """Return how many leading blocks an agent probably caches."""
-        held = self._hashes_by_agent.get(agent)
-        if not held:
+        """Return how many leading blocks an agent has probably cached."""
+        cached = self._hashes_by_agent.get(agent)
+        if not cached:
             return 0
         for count in range(len(prefix_hashes), 0, -1):
-            if prefix_hashes[count - 1] in held:
+            if prefix_hashes[count - 1] in cached:
                 return count
         return 0
 
     def holders(self, prefix_hashes: tuple[int, ...]) -> frozenset[str]:
         """Return all agents with the longest cached prefix."""
-        for one in reversed(prefix_hashes):
-            agents = self._agents_by_hash.get(one)
+        for prefix_hash in reversed(prefix_hashes):
+            agents = self._agents_by_hash.get(prefix_hash)
             if agents:
                 return frozenset(agents)
         return frozenset()
 
-    def _drop(self, agent: str, one: int) -> None:
-        agents = self._agents_by_hash.get(one)
+    def _drop(self, agent: str, prefix_hash: int) -> None:
+        agents = self._agents_by_hash.get(prefix_hash)
         if agents is None:
             return
         agents.discard(agent)
         if not agents:
-            self._agents_by_hash.pop(one)
+            self._agents_by_hash.pop(prefix_hash)
--- a/bergamotthread/process/routing/round_robin.py
+++ b/bergamotthread/process/routing/round_robin.py
@@ -1,4 +1,4 @@
-"""Round robin placement, the baseline that knows no load."""
+"""Round-robin placement, a baseline that ignores load."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RoundRobinPlacement(Placement):
-    """Takes the agents in turn, whatever their load."""
+    """Selects the agents in turn, whatever their load."""
 
     def __init__(self, agents: Sequence[str]) -> None:
         self._agents = tuple(agents)
@@ -33,18 +33,18 @@
         raise RefusedError(
             Refusal(
                 reason=ReasonCode.NO_UPSTREAM,
-                detail=f'no upstream left of {len(self._agents)}',
+                detail=f'no upstream left: {len(self._agents)} excluded',
                 step=Step.ROUTE,
                 ran=Ran.NOT_RUN,
             ),
         )
 
     def failure_domain(self, agent: str) -> str:
-        """Return nothing, since the domains are not known."""
+        """Return an empty string, since the domains are unknown."""
         return ''
 
     def publish(self, published: PublishedVersion) -> None:
-        """Take the agents of a newer version."""
+        """Switch to the agents of a newer version."""
         self._agents = tuple(published.upstreams_by_agent)
 
     def record_load(self, agent: str, load: LoadReport) -> None:
--- a/bergamotthread/process/routing/routing.py
+++ b/bergamotthread/process/routing/routing.py
@@ -1,4 +1,4 @@
-"""Placement by expected queue, uncovered prefill and paid bytes."""
+"""Placement by expected queueing, uncovered prefill and traffic cost."""
 
 from __future__ import annotations
 
@@ -45,14 +45,15 @@
 
 @dataclass
 class ScoredPlacement(Placement):
-    """Takes the cheapest of a few candidates.
-
-    Candidates are a sample of the own region, one of other regions and the
-    agents that cache the longest prefix. Agents that are lost, draining or
-    excluded are never candidates. Failure domains with several recent losses
-    are candidates only where no other is left; to resumptions one loss is
-    enough. Resumptions look at twice as many candidates, so that several
-    entries spread them over many survivors.
+    """Selects the cheapest of a few candidates.
+
+    Candidates are a random sample of the own region, one upstream of another
+    region, and the agents that cache the longest prefix of the prompt. Agents
+    that are lost, draining or excluded are never candidates. Failure domains
+    with several recent losses are only used if no other is left; for resumed
+    attempts one loss is enough. Resumed attempts sample twice as many
+    candidates, so that several entries spread them over many of the remaining
+    upstreams.
     """
 
     clock: Clock
@@ -83,7 +84,7 @@
         *,
         seed: int = 0,
     ) -> ScoredPlacement:
-        """Return a placement over the upstreams of a version."""
+        """Return a placement for the upstreams of a version."""
         return cls(
             clock=clock,
             region=region,
@@ -94,16 +95,16 @@
         )
 
     def publish(self, published: PublishedVersion) -> None:
-        """Move on to a newer version and keep what is known of the load."""
+        """Switch to a newer version; load estimates are kept."""
         self.pool = UpstreamPool.from_published(published, self.subset)
         self._availability.pool = self.pool
 
     def mark_leaving(self, agents: frozenset[str]) -> None:
-        """Replace the agents that the platform's list shows as leaving."""
+        """Set the agents that the platform's host list shows as leaving."""
         self._availability.leaving = agents
 
     def choose(self, request: PlacementRequest) -> str:
-        """Return the agent with the lowest score among a few candidates."""
+        """Return the candidate with the lowest score."""
         tolerated = 0 if request.resume else 1
         avoided = self._availability.avoided_domains(tolerated)
         if request.apart_from:
@@ -123,7 +124,13 @@
         request: PlacementRequest,
         avoided: frozenset[str] = NO_DOMAINS,
     ) -> tuple[Target, ...]:
-        """Return all targets outside `avoided` that may run an attempt now."""
+        """Return all targets that may run an attempt now.
+
+        Parameters
+        ----------
+        avoided
+            Failure domains whose targets are left out.
+        """
         return tuple(
             target
             for target in self.pool.targets_by_pin.get(request.pin, ())
@@ -131,7 +138,7 @@
         )
 
     def score_ms(self, request: PlacementRequest, target: Target) -> float:
-        """Return the cost of a target in milliseconds, lower is better."""
+        """Return the cost of a target in milliseconds; lower is better."""
         load = self.load_view.estimate(target.agent)
         score = score_ms(
             self._attempted(target.agent, request),
@@ -145,7 +152,7 @@
         return score + region_cost_ms(request, price, self.weights)
 
     def accepts(self, agent: str) -> bool:
-        """Return whether an agent is neither lost nor draining."""
+        """Return whether an agent is available for new work."""
         return self._availability.accepts(agent)
 
     def failure_domain(self, agent: str) -> str:
@@ -153,11 +160,11 @@
         return self.pool.domain_of(agent)
 
     def utilisation(self, pin: Pin) -> float:
-        """Return attempts over slots of the own region's live upstreams.
+        """Return the attempts per slot of the own region's live upstreams.
 
-        Attempts count as running, queued or sent and not yet reported. With
-        no live upstream in the own region, those of other regions count. The
-        figure is kept for `UTILISATION_INTERVAL_MS`.
+        Attempts that are running, queued, or sent and not yet reported are
+        counted. If the own region has no live upstream, those of other regions
+        are used. The value is cached for `UTILISATION_INTERVAL_MS`.
         """
         now_ms = self.clock.now_ms()
         measured_ms, utilisation = self._utilisation_by_pin.get(pin, (0, 0))
@@ -167,7 +174,7 @@
         return utilisation
 
     def record_load(self, agent: str, load: LoadReport) -> None:
-        """Take in a load report that arrived now."""
+        """Record a load report that has just arrived."""
         self._availability.record_heard(agent)
         self.load_view.record_report(agent, load)
         if load.kv_capacity:
@@ -175,22 +182,22 @@
         self.prefix_view.record(agent, load.cached_prefixes)
 
     def record_dispatch(self, agent: str, request: PlacementRequest) -> None:
-        """Count an attempt that was sent to `agent`."""
-        attempted = self._attempted(agent, request)
+        """Record that an attempt was sent to `agent`."""
+        attempt = self._attempted(agent, request)
         self.load_view.record_dispatch(
             agent,
             request.generation,
-            attempted.kv_tokens,
-            attempted.uncovered_tokens,
+            attempt.kv_tokens,
+            attempt.uncovered_tokens,
         )
         self.prefix_view.record(agent, request.prefix_hashes)
 
     def record_end(self, agent: str, request: PlacementRequest) -> None:
-        """Uncount an attempt that ended at `agent`."""
+        """Record that an attempt at `agent` has ended."""
         self.load_view.record_end(agent, request.generation)
 
     def record_loss(self, agent: str) -> None:
-        """Avoid an agent until heard from, and its failure domain a while."""
+        """Exclude an agent until heard from; avoid its domain for a while."""
         self._availability.record_loss(agent)
         self.load_view.forget(agent)
         self.prefix_view.forget(agent)
@@ -201,7 +208,7 @@
             for target in self.pool.targets_by_pin.get(pin, ())
             if self._availability.accepts(target.agent)
         ]
-        local = [one for one in live if one.region == self.region]
+        local = [target for target in live if target.region == self.region]
         counted = local or live
         slots = sum(target.max_running for target in counted)
         attempts = sum(
@@ -247,12 +254,12 @@
             is_eligible,
         )
         holders = self.prefix_view.holders(request.prefix_hashes)
-        holding = tuple(
+        prefix_targets = tuple(
             by_region.targets_by_agent[agent]
             for agent in sorted(holders)
             if agent in by_region.targets_by_agent
         )
-        sampled += self._sample(holding, PREFIX_CANDIDATES, is_eligible)
+        sampled += self._sample(prefix_targets, PREFIX_CANDIDATES, is_eligible)
         return tuple(sampled)
 
     def _sample(
@@ -261,16 +268,16 @@
         count: int,
         is_eligible: Callable[[Target], bool],
     ) -> list[Target]:
-        """Return up to `count` eligible targets, at random.
+        """Return up to `count` random eligible targets.
 
-        A draw of twice the count is nearly always enough, so that the cost
-        does not grow with the number of targets.
+        Only twice as many targets are drawn and checked, which is nearly
+        always enough, so the cost does not grow with the number of targets.
         """
         draw_count = min(2 * count, len(targets))
         drawn = self._random.sample(targets, draw_count)
-        sampled = [one for one in drawn if is_eligible(one)]
+        sampled = [target for target in drawn if is_eligible(target)]
         if len(sampled) < count < len(targets):
-            sampled = [one for one in targets if is_eligible(one)]
+            sampled = [target for target in targets if is_eligible(target)]
             self._random.shuffle(sampled)
         return sampled[:count]
 
@@ -282,16 +289,18 @@
         )
 
     def _refusal(self, request: PlacementRequest) -> Refusal:
-        known = self.pool.targets_by_pin.get(request.pin, ())
-        stopped = [
-            one for one in known if not self._availability.accepts(one.agent)
+        targets = self.pool.targets_by_pin.get(request.pin, ())
+        unavailable = [
+            target
+            for target in targets
+            if not self._availability.accepts(target.agent)
         ]
         pin = request.pin
         return Refusal(
             reason=ReasonCode.NO_UPSTREAM,
             detail=(
-                f'no upstream may run {pin.model}/{pin.version}/{pin.adapter}'
-                f' now: {len(known)} known, {len(stopped)} lost or draining,'
+                f'no upstream can run {pin.model}/{pin.version}/{pin.adapter}:'
+                f' {len(targets)} known, {len(unavailable)} lost or draining,'
                 f' {len(request.excluded)} excluded'
             ),
             step=Step.ROUTE,
@@ -300,8 +309,8 @@
             decided_by=f'models/{pin.model}',
             retry_after_ms=NO_UPSTREAM_RETRY_MS,
             figures={
-                'known': len(known),
-                'lost_or_draining': len(stopped),
+                'known': len(targets),
+                'lost_or_draining': len(unavailable),
                 'excluded': len(request.excluded),
             },
             team=request.team,
--- a/bergamotthread/process/routing/standby.py
+++ b/bergamotthread/process/routing/standby.py
@@ -1,4 +1,4 @@
-"""Warms the prefix of long generations at a second upstream."""
+"""Standby upstreams that keep the prefix of long generations warm."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Standbys:
-    """Keeps a warmed upstream for generations whose policy asks for one.
+    """Keeps a warm standby for generations whose policy requires one.
 
-    The standby stands in another failure domain than the current attempt. It
-    is warmed again every `REWARM_TOKENS`, so that a resume has little to
-    prefill. Attempts that only warm have negative numbers.
+    The standby is chosen in another failure domain than the current attempt.
+    Its prefix cache is warmed again every `REWARM_TOKENS`, so that a resume
+    has little to prefill. Attempts that only warm it have negative numbers.
     """
 
     def __init__(
@@ -36,19 +36,21 @@
         self._clock = clock
 
     def progressed(self, live: LiveGeneration) -> None:
-        """Warm a standby if the policy and the progress call for it."""
+        """Warm a standby if the policy and the progress require it."""
         policy = live.policy
         if policy.mode is not ResumeMode.WARM_STANDBY:
             return
-        context = live.placement_request.prompt_tokens + live.generation.offset
-        if context < policy.standby_after_tokens:
+        context_tokens = (
+            live.placement_request.prompt_tokens + live.generation.offset
+        )
+        if context_tokens < policy.standby_after_tokens:
             return
-        if not live.standby or context - live.warmed_at >= REWARM_TOKENS:
-            self._warm(live, context)
+        if not live.standby or context_tokens - live.warmed_at >= REWARM_TOKENS:
+            self._warm(live, context_tokens)
 
-    def _warm(self, live: LiveGeneration, context: int) -> None:
+    def _warm(self, live: LiveGeneration, context_tokens: int) -> None:
         current = live.generation.place.agent
-        live.warmed_at = context
+        live.warmed_at = context_tokens
         request = replace(
             live.placement_request,
             accepted_tokens=live.generation.offset,
--- a/bergamotthread/process/routing/subset.py
+++ b/bergamotthread/process/routing/subset.py
@@ -1,9 +1,9 @@
-"""Deterministic subset of upstreams per model for one entry.
+"""Deterministic subset of the upstreams of a model for each entry.
 
 Each upstream selects the entries of its region with the highest rendezvous
-scores, and an entry's subset is the upstreams that selected it. No upstream is
-left without an entry, and a process that comes or goes changes its own pairs
-and no others.
+scores, and the subset of an entry consists of the upstreams that selected it.
+Every upstream therefore has an entry, and a process that joins or leaves only
+changes its own pairs.
 """
 
 from __future__ import annotations
@@ -18,17 +18,19 @@
 
 @dataclass(frozen=True)
 class SubsetSizes:
-    """Sizes of subsets for one model.
+    """Sizes of the subsets for one model.
 
     Parameters
     ----------
     entries_per_upstream
-        Fewest entries that select each upstream, where there are as many.
+        Minimum number of entries that select each upstream, if the region has
+        that many.
     upstreams_per_entry
-        Mean size of a region's subsets that more entries per upstream are
-        used for; also the size of a subset that no own upstream fills.
+        Minimum mean size of a region's subsets; more entries select each
+        upstream if that is needed to reach it. A subset of less than half of
+        this size is filled up with upstreams that did not select the entry.
     failure_domains
-        Fewest failure domains of a subset, where there are as many.
+        Minimum number of failure domains in a subset, if there are that many.
     """
 
     entries_per_upstream: int = 4
@@ -60,24 +62,24 @@
     upstreams: Sequence[PlaceSettings],
     sizes: SubsetSizes = DEFAULT_SIZES,
 ) -> tuple[str, ...]:
-    """Return the addresses of the agents that an entry deals with.
+    """Return the addresses of the agents that an entry uses.
 
     Parameters
     ----------
     own
         Place of the entry.
     entries
-        Live entries of all regions; `own` counts also where it is missing.
+        Live entries of all regions; `own` is counted even if it is missing.
     upstreams
         Places of the agents whose upstreams run the model.
     sizes
-        Sizes of subsets.
+        Sizes of the subsets.
 
     Returns
     -------
     tuple of str
-        Sorted addresses: upstreams of the own region that selected the entry,
-        then as many others as the sizes still ask for.
+        Sorted addresses of the upstreams of the own region that selected the
+        entry, and of others that are needed to reach the minimum sizes.
     """
     local = [place for place in upstreams if place.region == own.region]
     chosen = _selected_by(own, entries, local, sizes)
@@ -95,7 +97,7 @@
     local: Sequence[PlaceSettings],
     sizes: SubsetSizes,
 ) -> dict[str, PlaceSettings]:
-    peers = {one.address for one in entries if one.region == own.region}
+    peers = {entry.address for entry in entries if entry.region == own.region}
     peers.discard(own.address)
     rank_limit = _entries_per_upstream(len(peers) + 1, len(local), sizes)
     others = sorted(peers)
@@ -114,8 +116,8 @@
     if not upstream_count:
         return 0
     pairs = sizes.upstreams_per_entry * entry_count
-    wanted = -(-pairs // upstream_count)
-    return max(sizes.entries_per_upstream, wanted)
+    needed = -(-pairs // upstream_count)
+    return max(sizes.entries_per_upstream, needed)
 
 
 def _ranks_within(
--- a/bergamotthread/process/routing/upstream_pool.py
+++ b/bergamotthread/process/routing/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Upstreams that may run a pin, and which of them may be tried now."""
+"""Upstreams of one published version that may run each pin."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Upstream as the placement sees it."""
+    """Properties of an upstream that the placement uses."""
 
     agent: str
     region: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class RegionSplit:
-    """Targets of a pin inside and outside one region."""
+    """Targets of a pin, split into one region and all others."""
 
     local: tuple[Target, ...]
     remote: tuple[Target, ...]
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class UpstreamPool:
-    """Targets of one published version by pin and by agent."""
+    """Targets of one published version, by pin and by agent."""
 
     version: int
     targets_by_pin: dict[Pin, tuple[Target, ...]]
@@ -57,11 +57,11 @@
         Parameters
         ----------
         subset
-            Picks the upstreams of a pin that this process deals with; all of
-            them where there is none.
+            Selects the upstreams of a pin that this process uses; None for
+            all.
         """
         targets_by_pin = {
-            pin: tuple(_target(published, one) for one in upstreams)
+            pin: tuple(_target(published, upstream) for upstream in upstreams)
             for pin, upstreams in _by_pin(published, subset).items()
         }
         return cls(
@@ -83,25 +83,29 @@
         )
 
     def split(self, pin: Pin, region: str) -> RegionSplit:
-        """Return the targets of a pin, split by region and kept."""
+        """Return the targets of a pin split by region; cached."""
         split = self._split_by_key.get((pin, region))
         if split is None:
             targets = self.targets_by_pin.get(pin, ())
             split = RegionSplit(
-                local=tuple(one for one in targets if one.region == region),
-                remote=tuple(one for one in targets if one.region != region),
-                targets_by_agent={one.agent: one for one in targets},
+                local=tuple(
+                    target for target in targets if target.region == region
+                ),
+                remote=tuple(
+                    target for target in targets if target.region != region
+                ),
+                targets_by_agent={target.agent: target for target in targets},
             )
             self._split_by_key[pin, region] = split
         return split
 
     def is_stopping(self, agent: str, calendar_ms: int) -> bool:
-        """Return whether a planned stop of the agent's host has started."""
+        """Return whether the planned stop of an agent's host has started."""
         start_ms = self.stop_start_ms_by_agent.get(agent)
         return start_ms is not None and start_ms <= calendar_ms
 
     def domain_of(self, agent: str) -> str:
-        """Return the failure domain of an agent, empty where unknown."""
+        """Return the failure domain of an agent, empty if unknown."""
         target = self.targets_by_agent.get(agent)
         return target.failure_domain if target else ''
 
@@ -116,8 +120,10 @@
             upstreams_by_pin.setdefault(pin, []).append(upstream)
     chosen_by_pin = {}
     for pin, upstreams in upstreams_by_pin.items():
-        every = tuple(upstreams)
-        chosen_by_pin[pin] = subset(pin, every) if subset else every
+        all_upstreams = tuple(upstreams)
+        chosen_by_pin[pin] = (
+            subset(pin, all_upstreams) if subset else all_upstreams
+        )
     return chosen_by_pin
 
 
