--- a/bergamotthread/process/overload/__init__.py
+++ b/bergamotthread/process/overload/__init__.py
@@ -1,4 +1,4 @@
-"""What waits and what is refused.
+"""Admission, queueing and refusal of work.
 
-Decided from queues, weights of teams and budgets of retries.
+Based on queue lengths, weights of teams and retry budgets.
 """
--- a/bergamotthread/process/overload/admission.py
+++ b/bergamotthread/process/overload/admission.py
@@ -1,7 +1,7 @@
-"""Admission to the engine beside an agent: run now, queue or decline.
+"""Admission to the engine beside an agent: run now, queue or refuse.
 
-The gate decides and does no input or output. Its caller sends what `offer`
-and `next_ready` return, and tells it of first tokens, progress and ends.
+The gate only decides and does no I/O. Its caller sends what `offer` and
+`next_ready` return, and reports first tokens, progress and ends.
 """
 
 from __future__ import annotations
@@ -22,10 +22,11 @@
 from bergamotthread.wire.messages import Dispatch, LoadReport
 
 CHARS_PER_TOKEN = 4
+# In prefill tokens.
 OUTPUT_TOKEN_COST = 40
 DECIDED_MAX = 4096
-# Prefill under way, times its bound for new work, up to which a resumption
-# starts; benchmarks.routing (scattered loss) compares 1, 2 and 3.
+# Prefill limit of resumed attempts, as a multiple of that of new work;
+# benchmarks.routing (scattered loss) compares 1, 2 and 3.
 RESUMED_PREFILL_FACTOR = 2
 ACTIVE_TEAM_MS = 60_000
 RETRY_AFTER_MIN_MS = 50
@@ -35,17 +36,24 @@
 
 @dataclass(frozen=True)
 class GateLimits:
-    """Capacity of an engine and bounds of its queue.
+    """Capacity of an engine and limits of its queue.
 
     Parameters
     ----------
+    max_running
+        Attempts that run at a time.
+    kv_capacity
+        Tokens that the KV cache holds.
     prefill_tokens
-        Prefill tokens under way at a time; one attempt may exceed it alone.
+        Prefill tokens in progress at a time; an attempt that is larger runs
+        while no other prefill is in progress.
+    max_queued
+        Dispatches that wait at a time.
     queue_wait_ms
-        Longest expected wait of new work; resumptions wait longer.
+        Longest expected wait of new work; resumed attempts may wait longer.
     team_threshold
-        A team may hold this many times the free slots (Choudhury and Hahne
-        1998) while other teams are active, so that some slots stay free.
+        While other teams are active, a team may use at most this many times
+        the free slots (Choudhury and Hahne 1998), so that some stay free.
     """
 
     max_running: int = 64
@@ -57,7 +65,7 @@
 
     @classmethod
     def from_upstream(cls, upstream: Upstream) -> GateLimits:
-        """Return the limits that a published upstream states."""
+        """Return the limits that a published upstream declares."""
         return cls(
             max_running=upstream.max_running,
             kv_capacity=upstream.kv_capacity,
@@ -66,14 +74,14 @@
 
 @dataclass(frozen=True)
 class Run:
-    """Send the dispatch to the engine now."""
+    """The dispatch is to be sent to the engine now."""
 
     dispatch: Dispatch
 
 
 @dataclass(frozen=True)
 class Queued:
-    """The dispatch waits; a later `next_ready` returns it."""
+    """The dispatch waits; a later call of `next_ready` returns it."""
 
     ahead: int
     expected_ms: float
@@ -81,7 +89,7 @@
 
 @dataclass(frozen=True)
 class Known:
-    """The attempt was offered before: a doubled message."""
+    """The attempt was offered before; the message is a duplicate."""
 
     dispatched: bool
 
@@ -113,16 +121,16 @@
 
 @dataclass(frozen=True)
 class GateRules:
-    """What the gate needs to know of prompts and teams.
+    """Functions that describe prompts and teams to the gate.
 
     Parameters
     ----------
     count_tokens
-        Length of a prompt in tokens.
+        Returns the length of a prompt in tokens.
     covered_tokens
-        Tokens of a dispatch that the engine's prefix cache holds.
+        Returns the tokens of a dispatch that the engine has cached.
     weight_of
-        Weight of a team.
+        Returns the weight of a team.
     """
 
     count_tokens: Callable[[str], int] = _characters_to_tokens
@@ -134,9 +142,9 @@
 class AdmissionGate:
     """Decides when each attempt may use one engine.
 
-    Resumptions go first. New work is shared between teams by weight, held back
-    while too much prefill is under way or the cache is full, and refused where
-    its expected wait passes the limit or its deadline.
+    Resumed attempts go first. New work is shared between teams by weight, held
+    back while too much prefill is in progress or the KV cache is full, and
+    refused if its expected wait exceeds the limit or its deadline.
     """
 
     clock: Clock
@@ -154,7 +162,7 @@
         self._queue = FairQueue(self.rules.weight_of)
 
     def offer(self, dispatch: Dispatch) -> Decision:
-        """Decide on a dispatch that has arrived."""
+        """Decide on a dispatch that has just arrived."""
         key = AttemptKey.from_dispatch(dispatch)
         if self._dispatched_by_key.get(key):
             return Known(dispatched=True)
@@ -167,7 +175,7 @@
         return self._decide(self._place(dispatch))
 
     def next_ready(self) -> tuple[Dispatch, ...]:
-        """Return dispatches to start now; their capacity is reserved."""
+        """Return the dispatches to start now, with their capacity reserved."""
         self._drop_expired()
         started: list[Dispatch] = []
         queued = self._startable()
@@ -178,23 +186,23 @@
         return tuple(started)
 
     def take_refused(self) -> tuple[Refused, ...]:
-        """Return queued attempts given up since the last call."""
+        """Return the queued attempts refused since the last call."""
         refused = tuple(self._refused)
         self._refused.clear()
         return refused
 
     def started(self, generation: str, attempt: int) -> None:
-        """Set the start of an attempt to now, when its bytes were sent."""
+        """Record that the dispatch of an attempt was sent just now."""
         running = self.running.by_key.get(AttemptKey(generation, attempt))
         if running is not None:
             running.started_ms = self.clock.now_ms()
 
     def first_token(self, generation: str, attempt: int) -> None:
-        """Take in that the prefill of an attempt is over."""
+        """Record that the prefill of an attempt has finished."""
         self.progress(generation, attempt, 1)
 
     def progress(self, generation: str, attempt: int, produced: int) -> None:
-        """Take in the tokens that an attempt has produced in all."""
+        """Record the total number of tokens that an attempt has produced."""
         running = self.running.by_key.get(AttemptKey(generation, attempt))
         if running is not None:
             self.running.record_tokens(running, produced, self.clock.now_ms())
@@ -204,13 +212,13 @@
         self.running.end(AttemptKey(generation, attempt), self.clock.now_ms())
 
     def revoke(self, generation: str, attempt: int) -> bool:
-        """Never start an attempt from now on.
+        """Ensure that an attempt is not started from now on.
 
         Returns
         -------
         bool
-            True where it has not been started and never will be; False where
-            it was given out to be started.
+            True if it has not been started and never will be; False if it was
+            already returned to be started.
         """
         key = AttemptKey(generation, attempt)
         queued = self._queued(key)
@@ -220,26 +228,26 @@
         return not self._dispatched_by_key[key]
 
     def drain(self, *, draining: bool) -> None:
-        """Start or stop refusing work; what is queued is given up."""
+        """Start or stop refusing work; a start also refuses queued work."""
         self.draining = draining
         if draining:
             for queued in self._queue.waiting:
                 self._give_up(queued, ReasonCode.DRAINING)
 
     def load_report(self) -> LoadReport:
-        """Return the load now, with queued work counted as held."""
-        waiting = [one.dispatch for one in self._queue.waiting]
-        context = sum(self._context_tokens(one) for one in waiting)
-        prefill = sum(self._prefill_tokens(one) for one in waiting)
-        prefill += int(self.running.prefill_left(self.clock.now_ms()))
+        """Return the current load; tokens of queued work are included."""
+        waiting = [queued.dispatch for queued in self._queue.waiting]
+        context_tokens = sum(self._context_tokens(queued) for queued in waiting)
+        prefill_tokens = sum(self._prefill_tokens(queued) for queued in waiting)
+        prefill_tokens += int(self.running.prefill_left(self.clock.now_ms()))
         statistics = self.running.statistics
         return LoadReport(
             running=len(self.running),
             queued=len(waiting),
-            kv_tokens=int(self.running.kv_tokens) + context,
+            kv_tokens=int(self.running.kv_tokens) + context_tokens,
             kv_capacity=self.limits.kv_capacity,
             draining=self.draining,
-            prefill_tokens=prefill,
+            prefill_tokens=prefill_tokens,
             prefill_per_s=statistics.prefill_per_s,
             between_tokens_ms=statistics.between_tokens_ms,
         )
@@ -301,7 +309,10 @@
                 self._give_up(queued, ReasonCode.DEADLINE)
 
     def _startable(self) -> QueuedDispatch | None:
-        """Return the first that may start; none passes a larger one."""
+        """Return the first queued dispatch that may start now.
+
+        If it doesn't fit, none behind it starts, not even a smaller one.
+        """
         if len(self.running) >= self.limits.max_running:
             return None
         now_ms = self.clock.now_ms()
@@ -327,12 +338,12 @@
 
     def _fits(self, queued: QueuedDispatch) -> bool:
         dispatch = queued.dispatch
-        prefilling = self.running.prefill_tokens
-        prefill = prefilling + self._prefill_tokens(dispatch)
+        running_prefill = self.running.prefill_tokens
+        total_prefill = running_prefill + self._prefill_tokens(dispatch)
         prefill_max = self.limits.prefill_tokens
         if queued.is_resumption:
             prefill_max *= RESUMED_PREFILL_FACTOR
-        if prefilling and prefill > prefill_max:
+        if running_prefill and total_prefill > prefill_max:
             return False
         if not len(self.running):
             return True
@@ -354,7 +365,7 @@
         )
 
     def _remember(self, key: AttemptKey, *, dispatched: bool) -> None:
-        """Keep the first decision on an attempt; the oldest go first."""
+        """Record the first decision on an attempt, and evict the oldest."""
         self._dispatched_by_key.setdefault(key, dispatched)
         if len(self._dispatched_by_key) > DECIDED_MAX:
             self._dispatched_by_key.popitem(last=False)
@@ -366,28 +377,30 @@
         return None
 
     def _place(self, dispatch: Dispatch) -> QueuedDispatch:
-        prefill = self._prefill_tokens(dispatch)
-        output = self._output_tokens(dispatch)
+        prefill_tokens = self._prefill_tokens(dispatch)
+        output_tokens = self._output_tokens(dispatch)
         return self._queue.place(
             dispatch,
             deadline_ms=self.clock.now_ms() + dispatch.remaining_ms,
-            cost=prefill + OUTPUT_TOKEN_COST * output,
+            cost=prefill_tokens + OUTPUT_TOKEN_COST * output_tokens,
         )
 
     def _expected_wait_ms(self, queued: QueuedDispatch) -> float:
-        """Return the wait for a slot and for the prefill ahead."""
+        """Return the longer of the waits for a slot and the prefill ahead."""
         ahead = self._queue.ahead_of(queued)
         statistics = self.running.statistics
         waiting = self._queue.waiting[:ahead]
-        prefill = self.running.prefill_left(self.clock.now_ms())
-        prefill += sum(self._prefill_tokens(one.dispatch) for one in waiting)
-        prefill_ms = prefill / statistics.prefill_per_s * _MS_PER_S
+        prefill_tokens = self.running.prefill_left(self.clock.now_ms())
+        prefill_tokens += sum(
+            self._prefill_tokens(other.dispatch) for other in waiting
+        )
+        prefill_ms = prefill_tokens / statistics.prefill_per_s * _MS_PER_S
         free = self.limits.max_running - len(self.running)
         slot_ms = statistics.run_ms / self.limits.max_running
         return max(prefill_ms, max(0, ahead + 1 - free) * slot_ms)
 
     def _retry_after_ms(self, dispatch: Dispatch) -> int:
-        """Return when the expected wait will have fallen below its limit."""
+        """Return the time until the expected wait is below its limit."""
         wait_ms = self._expected_wait_ms(self._place(dispatch))
         excess_ms = wait_ms - self.limits.queue_wait_ms
         bounded_ms = min(RETRY_AFTER_MAX_MS, excess_ms)
@@ -403,12 +416,12 @@
         }
 
     def _context_tokens(self, dispatch: Dispatch) -> int:
-        prompt = self.rules.count_tokens(dispatch.prompt)
-        return prompt + len(dispatch.accepted)
+        prompt_tokens = self.rules.count_tokens(dispatch.prompt)
+        return prompt_tokens + len(dispatch.accepted)
 
     def _prefill_tokens(self, dispatch: Dispatch) -> int:
-        covered = self.rules.covered_tokens(dispatch)
-        return max(0, self._context_tokens(dispatch) - covered)
+        covered_tokens = self.rules.covered_tokens(dispatch)
+        return max(0, self._context_tokens(dispatch) - covered_tokens)
 
     def _output_tokens(self, dispatch: Dispatch) -> float:
         expected = self.running.statistics.output_tokens
--- a/bergamotthread/process/overload/byte_budget.py
+++ b/bergamotthread/process/overload/byte_budget.py
@@ -1,4 +1,4 @@
-"""Budget of bytes sent, as a token bucket."""
+"""Limit of a byte rate, as a token bucket."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
         self._filled_ms = now_ms
 
     def available(self, now_ms: float) -> float:
-        """Return the bytes that may be sent now."""
-        passed_s = max(now_ms - self._filled_ms, 0) / _MS_PER_S
+        """Return the bytes that may be spent now."""
+        elapsed_s = max(now_ms - self._filled_ms, 0) / _MS_PER_S
         self._filled_ms = max(now_ms, self._filled_ms)
-        filled = self._available + passed_s * self._bytes_per_s
+        filled = self._available + elapsed_s * self._bytes_per_s
         self._available = min(filled, self._burst_bytes)
         return self._available
 
     def try_spend(self, byte_count: float, now_ms: float) -> bool:
-        """Take bytes from the bucket; return False where too few are left."""
+        """Spend bytes; return False without spending if too few are left."""
         if byte_count > self.available(now_ms):
             return False
         self._available -= byte_count
--- a/bergamotthread/process/overload/circuit.py
+++ b/bergamotthread/process/overload/circuit.py
@@ -1,4 +1,4 @@
-"""Circuit breaker that stops asking a peer that does not answer."""
+"""Circuit breaker that stops requests to a peer that does not answer."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 
 @dataclass
 class Circuit:
-    """Opens after failures in a row; lets one probe through at a time.
+    """Opens after consecutive failures, then admits one probe at a time.
 
     Parameters
     ----------
     clock
         Source of time.
     threshold
-        Failures in a row that open the circuit.
+        Consecutive failures that open the circuit.
     open_ms, max_open_ms
-        First and longest time for which the circuit stays open; it doubles
-        with each failed probe and varies by up to half.
+        Initial and maximum time for which the circuit stays open. The time
+        doubles with each failed probe; up to half of it is taken off at
+        random.
+    rng
+        Source of the random reduction.
     """
 
     clock: Clock
@@ -36,7 +39,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether requests are being turned away, but for a probe."""
+        """Whether requests other than probes are rejected."""
         return self._failures >= self.threshold
 
     @property
@@ -47,13 +50,13 @@
         return not self._probing and self.clock.now_ms() >= self._until_ms
 
     def admit(self) -> bool:
-        """Return whether a request may be sent now; it is a probe if open."""
+        """Return whether a request may be sent now, as a probe if open."""
         admitted = self.ready
         self._probing = self._probing or (admitted and self.is_open)
         return admitted
 
     def release(self) -> None:
-        """Allow another probe, since one was given up without an outcome."""
+        """Allow another probe after one was abandoned without an outcome."""
         self._probing = False
 
     def record_success(self) -> None:
@@ -62,7 +65,7 @@
         self._probing = False
 
     def record_failure(self) -> None:
-        """Count a failure and open the circuit if there were enough."""
+        """Count a failure, and open the circuit at the threshold."""
         self._failures += 1
         self._probing = False
         excess = self._failures - self.threshold
--- a/bergamotthread/process/overload/fair_queue.py
+++ b/bergamotthread/process/overload/fair_queue.py
@@ -1,4 +1,4 @@
-"""Bounded queue of dispatches that teams share by weight."""
+"""Queue of dispatches that teams share by weight."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 @dataclass(frozen=True)
 class QueuedDispatch:
-    """Dispatch that waits, with its place in the order.
+    """Dispatch that waits, with its position in the queue.
 
     Parameters
     ----------
     cost
         Expected use of the engine, in prefill tokens.
     start_tag
-        Virtual time of the start; -1 for resumptions, which go first.
+        Virtual time of the start; -1 for resumed attempts and dispatches with
+        priority, which go first.
+    order
+        Number of dispatches pushed before; decides between equal start tags.
     """
 
     dispatch: Dispatch
@@ -38,7 +41,7 @@
 
     @property
     def is_resumption(self) -> bool:
-        """Return whether it goes ahead of all new work."""
+        """Return whether the dispatch goes ahead of all new work."""
         return self.start_tag < 0
 
 
@@ -46,8 +49,8 @@
 class FairQueue:
     """Start-time fair queue over teams (Goyal, Vin, Cheng 1996).
 
-    A team's dispatch starts, in virtual time, when the team's previous one
-    finishes or now, whichever is later; the earliest start goes first.
+    In virtual time, a dispatch starts when the team's previous one finishes,
+    or now if that is later. The dispatch with the earliest start goes first.
     """
 
     weight_of: Callable[[str], float]
@@ -62,7 +65,7 @@
 
     @property
     def waiting(self) -> tuple[QueuedDispatch, ...]:
-        """Return all that wait, in order."""
+        """Return all waiting dispatches, in order."""
         return tuple(self._waiting)
 
     def place(
@@ -71,7 +74,7 @@
         deadline_ms: float,
         cost: float,
     ) -> QueuedDispatch:
-        """Return what `push` would add, without adding it."""
+        """Return the dispatch with its position, without adding it."""
         finish_tag = self._finish_tag_by_team.get(dispatch.team, 0)
         start_tag = max(self._virtual_time, finish_tag)
         if dispatch.accepted or dispatch.priority > 0:
@@ -81,7 +84,7 @@
         )
 
     def push(self, queued: QueuedDispatch) -> None:
-        """Add what `place` returned."""
+        """Add a dispatch that `place` returned."""
         self._order += 1
         bisect.insort(self._waiting, queued, key=_rank)
         if queued.is_resumption:
@@ -93,29 +96,32 @@
             self._forget_idle_teams()
 
     def ahead_of(self, queued: QueuedDispatch) -> int:
-        """Return how many go before one."""
+        """Return how many dispatches go before `queued`."""
         return bisect.bisect_left(self._waiting, queued.rank, key=_rank)
 
     def remove(self, queued: QueuedDispatch) -> None:
-        """Take one out that will not start."""
+        """Remove a dispatch that will not start."""
         self._waiting.remove(queued)
 
     def start(self, queued: QueuedDispatch) -> None:
-        """Take one out that starts, and advance virtual time."""
+        """Remove a dispatch that starts, and advance the virtual time."""
         self._waiting.remove(queued)
         self._virtual_time = max(self._virtual_time, queued.start_tag)
 
     def newest_of_heaviest_team(self) -> QueuedDispatch | None:
-        """Return the last new dispatch of the team with the largest backlog."""
+        """Return the newest dispatch of the team with the largest backlog.
+
+        Only new work counts; None if there is none.
+        """
         backlog: Counter[str] = Counter()
-        fresh = [one for one in self._waiting if not one.is_resumption]
-        for queued in fresh:
+        new_work = [item for item in self._waiting if not item.is_resumption]
+        for queued in new_work:
             team = queued.dispatch.team
             backlog[team] += int(queued.cost / self._weight(team))
         if not backlog:
             return None
         heaviest = max(sorted(backlog), key=backlog.__getitem__)
-        return [one for one in fresh if one.dispatch.team == heaviest][-1]
+        return [item for item in new_work if item.dispatch.team == heaviest][-1]
 
     def _weight(self, team: str) -> float:
         return max(self.weight_of(team), WEIGHT_MIN)
--- a/bergamotthread/process/overload/overload.py
+++ b/bergamotthread/process/overload/overload.py
@@ -1,4 +1,4 @@
-"""Early refusal of new work at the entry, fair between teams."""
+"""Early refusal of new work at the entry, with fairness between teams."""
 
 from __future__ import annotations
 
@@ -21,26 +21,29 @@
 
 @dataclass(frozen=True)
 class OverloadLimits:
-    """Utilisations of the subset's slots from which new work is refused.
+    """Limits above which an entry refuses new work.
+
+    Utilisations are attempts per slot of the entry's subset of upstreams.
 
     Parameters
     ----------
     utilisation_max
-        All teams are refused from here on.
+        Utilisation above which all teams are refused.
     fair_utilisation
-        Teams that ask for more than their share are held to it from here on.
+        Utilisation above which teams with too much demand are limited.
     demand_slack
-        Multiple of the mean demand of the other teams, by weight, from which
-        a team is held to its share.
+        A team is limited if its demand exceeds this multiple of the mean
+        demand of the other teams, by weight.
     share_slack
-        Multiple of the mean use of the other teams, by weight, that a team may
-        have in flight then.
+        Multiple of the mean use of the other teams, by weight, that a limited
+        team may have in flight.
     share_utilisation
-        Part of its share of the slots that a team may use then in any case.
+        Fraction of its share of the slots that a limited team may always use.
     burst
-        Multiple of what is allowed on average that a team may use at once.
+        Multiple of its average allowance that a limited team may use at once.
     in_flight_min
-        Requests in flight that a team may always have below the maximum.
+        Requests in flight that a team may always have while the utilisation is
+        below the maximum.
     """
 
     utilisation_max: float = 1.2
@@ -61,8 +64,8 @@
 class Overloaded:
     """The request is refused before anything was sent.
 
-    `retry_after_ms` is when, with no new work, the figure that decided will
-    have fallen below its limit.
+    `retry_after_ms` is the time after which, without new work, the value that
+    decided will be below its limit.
     """
 
     decided_by: str
@@ -76,10 +79,10 @@
 
 @dataclass
 class OverloadGuard:
-    """Refuses what the subset of upstreams can't serve in time.
+    """Refuses new work that the subset of upstreams can't serve in time.
 
-    A team's share is its weight among the teams that are active at this
-    process; no coordination is needed, since a team that fills one entry
+    A team's share is its weight relative to all teams that are active at this
+    process. Entries need not coordinate, since a team that fills one entry
     exceeds its share there.
     """
 
@@ -98,7 +101,7 @@
         Parameters
         ----------
         utilisation
-            Attempts running and queued over slots, in the subset.
+            Running and queued attempts per slot of the subset.
         """
         now_ms = self.clock.now_ms()
         self._teams.offer(team, now_ms)
@@ -109,21 +112,21 @@
                 self.limits.utilisation_max,
             )
         share = self._teams.share(team, now_ms)
-        asked = share.others_mean_offered * self.limits.demand_slack
+        offered_limit = share.others_mean_offered * self.limits.demand_slack
         if utilisation <= self.limits.fair_utilisation:
             return Admitted()
         if share.others_mean_offered < OTHERS_OFFERED_MIN:
             return Admitted()
-        if share.usage.offered <= asked:
+        if share.usage.offered <= offered_limit:
             return Admitted()
         return self._hold_to_share(team, share, utilisation)
 
     def record_start(self, team: str) -> None:
-        """Count a request that was admitted."""
+        """Record the start of an admitted request."""
         self._teams.add(team, 1, self.clock.now_ms())
 
     def record_end(self, team: str, run_ms: float) -> None:
-        """Uncount a request that ran for `run_ms`, 0 where it did not run."""
+        """Record the end of a request after `run_ms`, 0 if it did not run."""
         self._teams.add(team, -1, self.clock.now_ms())
         if run_ms:
             self.run_ms += _RUN_SMOOTHING * (run_ms - self.run_ms)
@@ -144,14 +147,15 @@
     def _allowed(self, share: TeamShare, utilisation: float) -> float:
         """Return the smoothed requests in flight that a team may have.
 
-        It is the largest of the minimum, the mean of the other teams by
-        weight with some slack, and a part of the team's share of the slots,
-        of which this process uses its own share now.
+        It is the maximum of `in_flight_min`, the mean of the other teams by
+        weight times `share_slack`, and the fraction `share_utilisation` of the
+        team's share of the slots. The slots of this process are estimated from
+        its requests in flight and the utilisation.
         """
-        relative = self.limits.share_slack * share.others_mean_smoothed
+        mean_of_others = self.limits.share_slack * share.others_mean_smoothed
         slots = share.total_smoothed / max(utilisation, _UTILISATION_MIN)
-        owned = self.limits.share_utilisation * share.part * slots
-        return max(self.limits.in_flight_min, relative, owned)
+        share_of_slots = self.limits.share_utilisation * share.part * slots
+        return max(self.limits.in_flight_min, mean_of_others, share_of_slots)
 
     def _overloaded(
         self,
@@ -159,7 +163,7 @@
         measured: float,
         limit: float,
     ) -> Overloaded:
-        """Return a refusal; load decays with the mean run time."""
+        """Return a refusal, given that load decays with the mean run time."""
         wait_ms = self.run_ms * math.log(max(measured / limit, 1))
         bounded_ms = min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, wait_ms))
         figures = {'measured': measured, 'limit': limit}
@@ -167,12 +171,12 @@
 
 
 def overload_refusal(verdict: Overloaded, team: str) -> Refusal:
-    """Return the refusal of a request that `check` refused."""
+    """Return the refusal to send for a request that `check` refused."""
     return Refusal(
         reason=ReasonCode.OVERLOADED,
         detail=(
-            f'{verdict.decided_by} uses {verdict.figures["measured"]:.2f}'
-            f' of at most {verdict.figures["limit"]:.2f}'
+            f'{verdict.decided_by}: load {verdict.figures["measured"]:.2f}'
+            f' has reached the limit of {verdict.figures["limit"]:.2f}'
         ),
         step=Step.ADMIT,
         ran=Ran.NOT_RUN,
--- a/bergamotthread/process/overload/retry_budget.py
+++ b/bergamotthread/process/overload/retry_budget.py
@@ -1,4 +1,4 @@
-"""Budgets that keep retries from multiplying an overload."""
+"""Budgets that keep retries from amplifying an overload."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """Refill and size of a budget, in retries.
+    """Refill rate and size of a budget, in retries.
 
     Parameters
     ----------
     per_success
         Retries earned by each attempt that succeeds.
     per_s
-        Retries earned each second without any success.
+        Retries earned per second, independent of successes.
     burst
-        Retries that can be saved up with nothing in flight.
+        Capacity with no request in flight.
     per_in_flight
-        Further retries that can be saved up for each request in flight, so
-        that the loss of a share of the upstreams can be resumed at once.
+        Additional capacity per request in flight, so that all generations of a
+        fraction of the upstreams can be resumed at once when these are lost.
     """
 
     per_success: float = 0.1
@@ -37,7 +37,7 @@
 
 @dataclass
 class TokenBucket:
-    """Retries left; starts full."""
+    """Retries left in one budget; starts full."""
 
     limits: RetryLimits
     clock: Clock
@@ -51,7 +51,7 @@
 
     @property
     def capacity(self) -> float:
-        """Return how many retries can be saved up now."""
+        """Return the retries that the bucket can hold now."""
         return self.limits.burst + self.limits.per_in_flight * self.in_flight
 
     @property
@@ -64,15 +64,15 @@
         return self._balance
 
     def start(self) -> None:
-        """Count a request in flight, whose share can be spent at once."""
+        """Record the start of a request, and add its `per_in_flight`."""
         self.in_flight += 1
         self._balance += self.limits.per_in_flight
 
     def end(self, *, succeeded: bool) -> None:
-        """Uncount a request and its share; a success earns its own.
+        """Record the end of a request, and remove its `per_in_flight`.
 
-        What was spent from the share becomes a debt, so that requests that
-        fail earn nothing.
+        If those retries were spent, the balance goes into debt, so that
+        requests that fail earn nothing. A success earns `per_success`.
         """
         self.in_flight = max(0, self.in_flight - 1)
         self._balance -= self.limits.per_in_flight
@@ -81,25 +81,25 @@
         self._balance = min(self.capacity, self._balance)
 
     def spend(self) -> None:
-        """Take one retry out."""
+        """Spend one retry."""
         self._balance = self.balance - 1
 
     def wait_ms(self, reserve: float) -> float:
-        """Return the time until one retry above a reserve is there."""
+        """Return the time until a retry above `reserve` is available."""
         missing = max(0, reserve + 1 - self.balance)
         return missing / self.limits.per_s * _MS_PER_S
 
 
 @dataclass(frozen=True)
 class Granted:
-    """The retry may be sent; it has been taken from both budgets."""
+    """The retry may be sent; it was deducted from both budgets."""
 
 
 @dataclass(frozen=True)
 class Denied:
     """The retry must not be sent.
 
-    `decided_by` is the budget that was empty: `process` or `teams/<name>`.
+    `decided_by` is the exhausted budget: `process` or `teams/<name>`.
     """
 
     decided_by: str
@@ -108,7 +108,7 @@
 
 @dataclass
 class RetryBudget:
-    """Budgets of this process and of each team that uses it."""
+    """Retry budgets of this process and of each team that uses it."""
 
     clock: Clock
     team_limits: RetryLimits = RetryLimits()
@@ -121,23 +121,26 @@
         self._process = TokenBucket(self.process_limits, self.clock)
 
     def record_start(self, team: str) -> None:
-        """Count a request that was accepted."""
+        """Record the start of an accepted request."""
         self._process.start()
         self._bucket(team).start()
 
     def record_end(self, team: str, *, succeeded: bool) -> None:
-        """Uncount a request that `record_start` counted."""
+        """Record the end of a request that `record_start` counted."""
         self._process.end(succeeded=succeeded)
         self._bucket(team).end(succeeded=succeeded)
 
     def spend(self, team: str, *, resume: bool = True) -> Granted | Denied:
-        """Take one retry of a team, or tell when to come again.
+        """Spend one retry of a team, or return when to try again.
 
         Parameters
         ----------
+        team
+            Name of the team.
         resume
-            Whether the retry resumes an answer. Others, after a decline, must
-            leave `RESUME_RESERVE` of both budgets to resumptions.
+            Whether the retry resumes a generation after a loss. Other retries,
+            such as after a decline, must leave the fraction `RESUME_RESERVE`
+            of both budgets to those that resume.
         """
         bucket = self._bucket(team)
         for budget, name in (
@@ -161,7 +164,7 @@
         return bucket
 
     def _forget_idle(self) -> None:
-        """Drop the least recently used team that has nothing in flight."""
+        """Evict the least recently used team that has nothing in flight."""
         if len(self._bucket_by_team) <= TEAMS_MAX:
             return
         for team, bucket in self._bucket_by_team.items():
--- a/bergamotthread/process/overload/retry_credit.py
+++ b/bergamotthread/process/overload/retry_credit.py
@@ -1,4 +1,4 @@
-"""Budget that keeps retries to a share of the first attempts."""
+"""Budget that limits retries to a fraction of the first attempts."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass
 class RetryCredit:
-    """Credit for retries; each first attempt earns `share` of one retry.
+    """Retries that may be sent; each first attempt earns `share` of one.
 
     Parameters
     ----------
     share
         Retries allowed per first attempt in the long run.
     capacity
-        Largest credit, which bounds a burst of retries.
+        Maximum credit, which limits a burst of retries.
     """
 
     share: float = 0.1
