--- a/bergamotthread/process/membership/__init__.py
+++ b/bergamotthread/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: told by gossip, probes and the list of hosts."""
+"""Membership of processes, from gossip, probes and the host list."""
--- a/bergamotthread/process/membership/gossip_queue.py
+++ b/bergamotthread/process/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Choice of the records that ride on a probe."""
+"""Selection of the member records that a probe carries."""
 
 from __future__ import annotations
 
@@ -26,7 +26,11 @@
 
 
 class GossipQueue:
-    """Recent changes, each sent a number of times that grows with log2."""
+    """Recent changes of members that are to be propagated.
+
+    Each change is sent a number of times that grows with log2 of the number of
+    members.
+    """
 
     def __init__(self) -> None:
         self._change_by_address: dict[str, _Change] = {}
@@ -35,7 +39,7 @@
         return len(self._change_by_address)
 
     def push(self, member: Member) -> None:
-        """Add a change in place of an earlier one of the same member."""
+        """Add a change; it replaces an earlier one of the same member."""
         change = _Change(member, record_bytes(member))
         self._change_by_address[member.address] = change
 
@@ -45,8 +49,8 @@
         max_records: int,
         member_count: int,
     ) -> tuple[Member, ...]:
-        """Return the least often sent changes that fit, and count them."""
-        limit = RETRANSMIT_FACTOR * math.ceil(math.log2(member_count + 2))
+        """Return the least often sent changes that fit, as sent once more."""
+        sends_max = RETRANSMIT_FACTOR * math.ceil(math.log2(member_count + 2))
         chosen = []
         candidates = heapq.nsmallest(
             max_records,
@@ -59,6 +63,6 @@
                 break
             chosen.append(change.member)
             change.sent += 1
-            if change.sent >= limit:
+            if change.sent >= sends_max:
                 self._change_by_address.pop(change.member.address)
         return tuple(chosen)
--- a/bergamotthread/process/membership/gossip_sender.py
+++ b/bergamotthread/process/membership/gossip_sender.py
@@ -1,4 +1,4 @@
-"""Sending of probes with the records that fit the byte budget."""
+"""Sending of probes with the member records that fit the byte budget."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class GossipSender:
-    """Sends membership messages, none of them beyond the budget.
+    """Sends membership messages within a byte budget.
 
-    Each carries the own record, what the receiver has to refute, the least
-    often sent changes, and two records in rotation, so that views that have
-    drifted apart meet again.
+    Each message carries the own record, the receiver's record if the receiver
+    has to refute it, the least often sent changes, and two records in rotation,
+    so that views that have diverged converge again.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
     table
         Records of the members.
     config_version
-        Returns the version in force here.
+        Returns the configuration version in force.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._rotation: list[str] = []
 
     def push(self, member: Member) -> None:
-        """Let the next messages carry a change."""
+        """Queue a change for the next messages."""
         self._queue.push(member)
 
     def send_probe(self, peer: str, sequence: int) -> None:
@@ -74,7 +74,7 @@
             self._transport.send(peer, Probe(sequence, members, version))
 
     def send_reply(self, peer: str, sequence: int) -> None:
-        """Send the answer to a probe."""
+        """Send the reply to a probe."""
         members = self._records_for(peer)
         if members:
             version = self._config_version()
@@ -110,10 +110,10 @@
 
     def _required(self, peer: str) -> tuple[Member, ...]:
         own = self._table.own
-        known = self._table.get(peer)
-        if known is None or known.state is MemberState.ALIVE:
+        member = self._table.get(peer)
+        if member is None or member.state is MemberState.ALIVE:
             return (own,)
-        return (own, known)
+        return (own, member)
 
     def _refreshed(self) -> tuple[Member, ...]:
         if len(self._rotation) < REFRESHED_RECORDS:
--- a/bergamotthread/process/membership/health.py
+++ b/bergamotthread/process/membership/health.py
@@ -1,4 +1,4 @@
-"""Routes for the platform's balancer and for metrics."""
+"""HTTP routes for the platform's load balancer and for metrics."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Readiness(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Whether a process takes new work, and why not."""
+    """Readiness for new work, with the reasons against it."""
 
     reasons: tuple[str, ...] = ()
 
     @property
     def is_ready(self) -> bool:
-        """Return whether nothing speaks against new work."""
+        """Return whether there is no reason to refuse new work."""
         return not self.reasons
 
 
@@ -42,7 +42,7 @@
     Parameters
     ----------
     read_readiness
-        Called for each request of the balancer; must not block.
+        Called for each request of the load balancer; must not block.
     """
     handlers = _Health(metrics, read_readiness)
     return (
@@ -53,7 +53,7 @@
 
 
 class _Health:
-    """Handlers of the routes."""
+    """Handlers of the health and metrics routes."""
 
     def __init__(
         self,
@@ -64,18 +64,18 @@
         self._read_readiness = read_readiness
 
     async def show_metrics(self, request: Request) -> Response:
-        """Answer with all metrics."""
+        """Return all metrics."""
         return Response(
             self._metrics.expose(),
             headers={'content-type': METRICS_MEDIA_TYPE},
         )
 
     async def show_health(self, request: Request) -> Response:
-        """Answer that the loop runs."""
+        """Return OK, which shows that the event loop runs."""
         return PlainTextResponse('ok\n')
 
     async def show_readiness(self, request: Request) -> Response:
-        """Answer whether new work is taken."""
+        """Return whether new work is accepted, and the reasons if not."""
         readiness = self._read_readiness()
         body = _ReadinessBody(readiness.is_ready, readiness.reasons)
         return Response(
--- a/bergamotthread/process/membership/host_watch.py
+++ b/bergamotthread/process/membership/host_watch.py
@@ -1,4 +1,4 @@
-"""Watch of the platform's host list, shared by the entries of a region."""
+"""Polling of the platform's host list, shared by a region's entries."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class HostWatch:
-    """Reads the host list and tells hosts that are leaving to drain.
+    """Polls the host list and notifies hosts that are leaving to drain.
 
-    Three entries of a region, chosen by rendezvous hash, read each second, the
-    others every ten seconds. A notice is sent again with each read until the
-    host leaves the list, so a lost one costs one interval.
+    Three entries of a region, chosen by rendezvous hashing, poll every second,
+    the others every ten seconds. A notice is repeated with each poll until the
+    host is no longer listed, so a lost notice only costs one interval.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     region
         Own region.
     host_list
-        The platform's list.
+        The platform's host list.
     region_entries
         Returns the live entries of the own region.
     """
@@ -56,7 +56,7 @@
         self._listeners: list[HostsListener] = []
 
     def add_listener(self, listener: HostsListener) -> None:
-        """Call `listener` with each list that was read."""
+        """Call `listener` with each list that is read."""
         self._listeners.append(listener)
 
     def interval_ms(self) -> int:
@@ -71,13 +71,13 @@
         return OTHER_INTERVAL_MS
 
     async def run(self) -> None:
-        """Read the list until cancelled."""
+        """Poll the list until cancelled."""
         while True:
             await self.read_once()
             await self._clock.sleep_ms(self.interval_ms())
 
     async def read_once(self) -> None:
-        """Read the list; an outage leaves everything as it is."""
+        """Read the list once; an outage of the platform changes nothing."""
         try:
             hosts = await self._host_list.hosts()
         except StoreUnavailableError:
--- a/bergamotthread/process/membership/loss_probe.py
+++ b/bergamotthread/process/membership/loss_probe.py
@@ -1,4 +1,4 @@
-"""Asks lost agents for a sign of life, so that they come back into use."""
+"""Probes of lost agents, so that they are used again once they respond."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 
 class LossProbe:
-    """Sends empty acknowledgements to lost agents, ever less often.
+    """Probes lost agents with exponential backoff.
 
-    An agent answers them with its load report. An agent that has not answered
-    after `MAX_PROBES` is given up until it is heard from by itself.
+    A probe is an empty acknowledgement, which an agent answers with its load
+    report. After `MAX_PROBES` probes without an answer an agent is no longer
+    probed, and returns to use only once it sends a message by itself.
     """
 
     def __init__(self, transport: Transport, clock: Clock) -> None:
@@ -33,13 +34,13 @@
         self._probes_by_agent: dict[str, int] = {}
 
     def add(self, agent: str) -> None:
-        """Begin to probe an agent that was lost."""
+        """Start probing an agent that was lost."""
         next_ms = self._clock.now_ms() + FIRST_INTERVAL_MS
         schedule = _Schedule(FIRST_INTERVAL_MS, next_ms)
         self._schedules_by_agent.setdefault(agent, schedule)
 
     def remove(self, agent: str) -> None:
-        """Stop to probe an agent that was heard from."""
+        """Stop probing an agent."""
         self._schedules_by_agent.pop(agent, None)
         self._probes_by_agent.pop(agent, None)
 
--- a/bergamotthread/process/membership/member_table.py
+++ b/bergamotthread/process/membership/member_table.py
@@ -1,4 +1,4 @@
-"""Members as one process sees them, with the rules that merge two views."""
+"""Member records of one process, and the rules for merging them."""
 
 from __future__ import annotations
 
@@ -21,19 +21,23 @@
 def member_incarnation(process_incarnation: int) -> int:
     """Return the first member incarnation of a process.
 
-    The low 16 bits count refutations, so that a restarted process is above
-    every refutation of the one before it.
+    The low 16 bits count refutations, so that a restarted process supersedes
+    all refutations of its predecessor.
     """
     return process_incarnation << REFUTATION_BITS
 
 
 def process_incarnation(incarnation: int) -> int:
-    """Return the incarnation of the process that a member belongs to."""
+    """Return the process incarnation that a member incarnation contains."""
     return incarnation >> REFUTATION_BITS
 
 
 class _Known(msgspec.Struct):
-    """Record of a member and when it turned suspect or dead."""
+    """Record of a member, and the start of its timer while it is not alive.
+
+    `doubted_ms` is when the member became suspect or dead, or when a leaving
+    member first failed to answer; None if no timer runs.
+    """
 
     member: Member
     doubted_ms: float | None = None
@@ -42,16 +46,16 @@
 class MemberTable:
     """Records of all members by address, and the own record.
 
-    A record with a higher incarnation replaces one with a lower; of two with
-    the same, the later of alive, suspect, leaving and dead holds. All methods
-    that change a record return what has to be passed on, if anything.
+    A record with a higher incarnation replaces one with a lower. With equal
+    incarnations, the later of the states alive, suspect, leaving and dead wins.
+    Methods that change a record return it if it has to be propagated.
 
     Parameters
     ----------
     own
         Record of the process itself.
     suspicion_ms
-        Time from suspicion to removal.
+        Time from suspicion to removal, in milliseconds.
     """
 
     def __init__(self, own: Member, suspicion_ms: float = SUSPICION_MS) -> None:
@@ -61,66 +65,69 @@
 
     @property
     def count(self) -> int:
-        """Return the number of records, the own one too."""
+        """Return the number of records, including the own one."""
         return len(self._known_by_address) + 1
 
     def get(self, address: str) -> Member | None:
-        """Return the record of an address, or None where it is unknown."""
+        """Return the record of an address, or None if it is unknown."""
         if address == self.own.address:
             return self.own
-        known = self._known_by_address.get(address)
-        return known.member if known else None
+        record = self._known_by_address.get(address)
+        return record.member if record else None
 
     def others(self) -> tuple[Member, ...]:
-        """Return the records of all other members, dead ones too."""
-        return tuple(one.member for one in self._known_by_address.values())
+        """Return the records of all other members, including dead ones."""
+        return tuple(
+            record.member for record in self._known_by_address.values()
+        )
 
     def add_listed(self, member: Member, now_ms: float) -> bool:
-        """Take in a host of the platform's list; return whether it is new.
+        """Add a host of the platform's list; return whether it is new.
 
-        A removed member that is still listed stays removed until it is heard.
+        A removed member that is still listed stays removed until it is heard
+        from.
         """
-        known = self._known_by_address.get(member.address)
-        if known is not None and known.member.state is MemberState.DEAD:
-            known.doubted_ms = now_ms
+        record = self._known_by_address.get(member.address)
+        if record is not None and record.member.state is MemberState.DEAD:
+            record.doubted_ms = now_ms
         if self.get(member.address) is not None:
             return False
         self._known_by_address[member.address] = _Known(member)
         return True
 
     def merge(self, member: Member, now_ms: float) -> Member | None:
-        """Take in a record that another process sent."""
+        """Merge a record that another process sent."""
         if member.address == self.own.address:
             return self._refute(member)
-        known = self._known_by_address.get(member.address)
-        if known is not None and not _replaces(member, known.member):
+        record = self._known_by_address.get(member.address)
+        if record is not None and not _replaces(member, record.member):
             return None
-        if known is None and member.state is MemberState.DEAD:
+        if record is None and member.state is MemberState.DEAD:
             return None
         return self._put(member, now_ms)
 
     def note_heard(self, address: str, now_ms: float) -> None:
-        """Start the time to removal again, since the member was heard."""
-        known = self._known_by_address.get(address)
-        if known is None or known.doubted_ms is None:
+        """Restart or stop the removal timer of a member just heard from."""
+        record = self._known_by_address.get(address)
+        if record is None or record.doubted_ms is None:
             return
-        match known.member.state:
+        match record.member.state:
             case MemberState.SUSPECT:
-                known.doubted_ms = now_ms
+                record.doubted_ms = now_ms
             case MemberState.LEAVING:
-                known.doubted_ms = None
+                record.doubted_ms = None
 
     def suspect(self, address: str, now_ms: float) -> Member | None:
-        """Suspect a member that didn't answer."""
-        known = self._known_by_address.get(address)
-        if known is None:
+        """Mark a member that didn't answer as suspected."""
+        record = self._known_by_address.get(address)
+        if record is None:
             return None
-        match known.member.state:
+        match record.member.state:
             case MemberState.ALIVE:
-                member = _with_state(known.member, MemberState.SUSPECT)
+                member = _with_state(record.member, MemberState.SUSPECT)
                 return self._put(member, now_ms)
-            case MemberState.LEAVING if known.doubted_ms is None:
-                known.doubted_ms = now_ms
+            case MemberState.LEAVING if record.doubted_ms is None:
+                record.doubted_ms = now_ms
         return None
 
     def leave(self) -> Member:
@@ -129,39 +136,45 @@
         return self.own
 
     def expire(self, now_ms: float) -> tuple[Member, ...]:
-        """Remove members that were suspect for long; forget old removals."""
+        """Remove members whose timer has run out, and evict old tombstones."""
         removed = []
-        for address, known in tuple(self._known_by_address.items()):
-            if known.doubted_ms is None:
+        for address, record in tuple(self._known_by_address.items()):
+            if record.doubted_ms is None:
                 continue
-            doubted_for_ms = now_ms - known.doubted_ms
-            if known.member.state is MemberState.DEAD:
-                if doubted_for_ms >= TOMBSTONE_MS:
+            elapsed_ms = now_ms - record.doubted_ms
+            if record.member.state is MemberState.DEAD:
+                if elapsed_ms >= TOMBSTONE_MS:
                     self._known_by_address.pop(address)
-            elif doubted_for_ms >= self._suspicion_ms:
-                member = _with_state(known.member, MemberState.DEAD)
+            elif elapsed_ms >= self._suspicion_ms:
+                member = _with_state(record.member, MemberState.DEAD)
                 removed.append(self._put(member, now_ms))
         return tuple(removed)
 
     def postpone(self, pause_ms: float) -> None:
-        """Extend all timers by a time in which this process was paused."""
-        for known in self._known_by_address.values():
-            if known.doubted_ms is not None:
-                known.doubted_ms += pause_ms
+        """Extend all timers by the time that this process was paused."""
+        for record in self._known_by_address.values():
+            if record.doubted_ms is not None:
+                record.doubted_ms += pause_ms
 
     def _put(self, member: Member, now_ms: float) -> Member:
-        doubted = member.state in {MemberState.SUSPECT, MemberState.DEAD}
-        doubted_ms = now_ms if doubted else None
+        is_unresponsive = member.state in {
+            MemberState.SUSPECT,
+            MemberState.DEAD,
+        }
+        doubted_ms = now_ms if is_unresponsive else None
         self._known_by_address[member.address] = _Known(member, doubted_ms)
         return member
 
     def _refute(self, member: Member) -> Member | None:
         own = self.own
-        doubted = member.state in {MemberState.SUSPECT, MemberState.DEAD}
-        newer_process = process_incarnation(
+        is_unresponsive = member.state in {
+            MemberState.SUSPECT,
+            MemberState.DEAD,
+        }
+        is_newer_process = process_incarnation(
             member.incarnation
         ) > process_incarnation(own.incarnation)
-        if newer_process or not doubted:
+        if is_newer_process or not is_unresponsive:
             return None
         if member.incarnation < own.incarnation:
             return None
--- a/bergamotthread/process/membership/membership.py
+++ b/bergamotthread/process/membership/membership.py
@@ -1,9 +1,10 @@
 """Membership of entries without a coordinator.
 
-Each entry probes one other per second, and the answers carry recent changes.
-A member that answers neither directly nor through others is suspected, can
-refute that, and is removed only later. The platform's lagging host list is the
-seed. The protocol follows SWIM (Das, Gupta, Motivala, 2002).
+Each entry probes one other entry per second, and probes and replies carry
+recent changes. A member that answers neither directly nor through others is
+suspected. It can refute the suspicion, and is removed only after a timeout.
+The platform's host list, which lags behind, provides the seeds. The protocol
+follows SWIM (Das, Gupta, Motivala, 2002).
 """
 
 from __future__ import annotations
@@ -39,8 +40,10 @@
 PROBE_INTERVAL_MS = 1000
 SEED_INTERVAL_MS = 5000
 JOIN_INTERVAL_MS = 250
+# Ticks that are this far apart mean that the process was paused.
 PAUSE_MS = 2000
 INDIRECT_PROBES = 3
+# Assumed before the host list has been read.
 UNKNOWN_SHARE = 0.1
 
 MemberListener = Callable[[Member], None]
@@ -49,7 +52,7 @@
 
 @dataclass
 class MembershipCounters:
-    """Events since the start, for metrics."""
+    """Counts of events since the start, for metrics."""
 
     suspicions: int = 0
     removals: int = 0
@@ -58,7 +61,7 @@
 
 @dataclass
 class _Due:
-    """Monotonic times of the last tick and of the next probes."""
+    """Monotonic times of the last tick and the next probes."""
 
     ticked_ms: float
     probe_ms: float
@@ -75,13 +78,13 @@
     clock
         Clock of the process.
     place
-        Place of the process.
+        Address, region and failure domain of the process.
     hosts
-        The platform's host list; None where only `peers` are known.
+        The platform's host list; None if only `peers` are known.
     peers
         Addresses of entries from the settings.
     config_version
-        Returns the version in force here, which rides on each probe.
+        Returns the configuration version in force, which each probe carries.
     """
 
     def __init__(
@@ -121,13 +124,13 @@
         self._listeners.append(listener)
 
     def add_version_listener(self, listener: VersionListener) -> None:
-        """Call `listener` with address and version of each heard member."""
+        """Call `listener` with address and version for each message."""
         self._version_listeners.append(listener)
 
     def live_members(self) -> tuple[Member, ...]:
         """Return all members that aren't removed, sorted by address.
 
-        The own process is one of them, also while it is leaving.
+        The own process is included, even while it is leaving.
         """
         if self._live is None:
             members = [
@@ -161,16 +164,18 @@
         )
 
     def reachable_share(self) -> float:
-        """Return the share of known and listed entries that answer.
+        """Return the fraction of known and listed entries that respond.
 
-        Small until the platform's list was read once: a process that has
-        just started doesn't know how many others there are.
+        Small until the host list has been read once, since a process that has
+        just started doesn't know how many other entries there are.
         """
         if self._listed is None:
             return UNKNOWN_SHARE
         responsive = frozenset(self.responsive_entries())
-        known = responsive.union(self.live_entries(), self._listed, self._peers)
-        return len(responsive) / len(known)
+        all_entries = responsive.union(
+            self.live_entries(), self._listed, self._peers
+        )
+        return len(responsive) / len(all_entries)
 
     def entry_places(self) -> tuple[PlaceSettings, ...]:
         """Return the places of the live entries that aren't leaving."""
@@ -181,7 +186,7 @@
         )
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message; those of other matters are ignored."""
+        """Handle a membership message; other messages are ignored."""
         match envelope.message:
             case Probe() | ProbeReply() if self._is_current(envelope):
                 self._take_in(envelope, envelope.message)
@@ -189,7 +194,7 @@
                 self._relay(envelope.sender, sequence, target)
 
     def apply_hosts(self, hosts: tuple[HostEntry, ...]) -> None:
-        """Take in the platform's list as seeds."""
+        """Use the platform's host list as seeds."""
         self._listed = frozenset(
             host.address
             for host in hosts
@@ -200,20 +205,23 @@
                 self._apply_host(host)
 
     def leave(self) -> None:
-        """Tell the region at once, and the others by and by, to leave out."""
+        """Announce that this process is leaving.
+
+        Entries of the region are notified at once, others by gossip.
+        """
         self._change(self.table.leave())
         for address in self.region_entries():
             self._sender.send_probe(address, self._prober.unwatched())
 
     async def run(self) -> None:
-        """Probe and expire members, and read the host list, until cancelled."""
+        """Probe and expire members, and poll the host list, until cancelled."""
         async with asyncio.TaskGroup() as group:
             if self.host_watch is not None:
                 group.create_task(self.host_watch.run())
             group.create_task(self._tick_for_ever())
 
     def tick(self) -> None:
-        """Do what is due now."""
+        """Send the probes and apply the timeouts that are due."""
         now_ms = self._clock.now_ms()
         gap_ms = now_ms - self._due.ticked_ms
         self._due.ticked_ms = now_ms
@@ -240,10 +248,10 @@
     def _is_current(self, envelope: Envelope) -> bool:
         if envelope.sender == self.table.own.address:
             return False
-        known = self.table.get(envelope.sender)
-        if known is None:
+        member = self.table.get(envelope.sender)
+        if member is None:
             return True
-        return envelope.incarnation >= process_incarnation(known.incarnation)
+        return envelope.incarnation >= process_incarnation(member.incarnation)
 
     def _take_in(self, envelope: Envelope, message: Probe | ProbeReply) -> None:
         now_ms = self._clock.now_ms()
@@ -277,26 +285,26 @@
     def _apply_host(self, host: HostEntry) -> None:
         self._seeds[host.address] = None
         state = MemberState.LEAVING if host.leaving else MemberState.ALIVE
-        known = self.table.get(host.address)
-        listed = Member(
+        member = self.table.get(host.address)
+        listed_member = Member(
             address=host.address,
-            incarnation=known.incarnation if known else 0,
+            incarnation=member.incarnation if member else 0,
             state=state,
             role=host.role,
             region=host.region,
             failure_domain=host.failure_domain,
         )
         now_ms = self._clock.now_ms()
-        if self.table.add_listed(listed, now_ms):
-            self._notify(listed)
+        if self.table.add_listed(listed_member, now_ms):
+            self._notify(listed_member)
         elif host.leaving:
-            merged = self.table.merge(listed, now_ms)
+            merged = self.table.merge(listed_member, now_ms)
             if merged is not None:
                 self._change(merged)
 
     def _probe_next(self, now_ms: float) -> None:
         own = self.table.own.address
-        others = [one for one in self.live_entries() if one != own]
+        others = [address for address in self.live_entries() if address != own]
         target = self._prober.next_target(others)
         if target is not None:
             sequence = self._prober.start(target, now_ms)
@@ -305,8 +313,8 @@
     def _probe_seed(self, now_ms: float) -> None:
         own = self.table.own.address
         live = frozenset(self.live_entries())
-        alone = len(live) == 1
-        interval_ms = JOIN_INTERVAL_MS if alone else SEED_INTERVAL_MS
+        is_alone = len(live) == 1
+        interval_ms = JOIN_INTERVAL_MS if is_alone else SEED_INTERVAL_MS
         self._due.seed_ms = now_ms + interval_ms
         seeds = [
             seed for seed in self._seeds if seed not in live and seed != own
@@ -325,7 +333,7 @@
             if address != self.table.own.address
         ]
         for sequence, target in due:
-            helpers = [one for one in responsive if one != target]
+            helpers = [address for address in responsive if address != target]
             count = min(INDIRECT_PROBES, len(helpers))
             for helper in self._source.sample(helpers, count):
                 self._sender.send_request(helper, sequence, target)
--- a/bergamotthread/process/membership/observers.py
+++ b/bergamotthread/process/membership/observers.py
@@ -1,4 +1,4 @@
-"""What an entry notes of its generations, beside deciding on them."""
+"""Observers of an entry's generations, which take no part in decisions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Observers:
-    """Metrics, demand of pins and the decision trace."""
+    """Metrics, demand for pins, and the decision trace."""
 
     metrics: EntryMetrics
     demand: PinDemand
--- a/bergamotthread/process/membership/own_host_watch.py
+++ b/bergamotthread/process/membership/own_host_watch.py
@@ -1,4 +1,4 @@
-"""An agent's own reading of what the platform says of its host."""
+"""Polling of the platform's host list by an agent for its own host."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 class OwnHostWatch:
-    """Drains the agent when the platform's list shows its host as leaving.
+    """Drains the agent when the host list shows its host as leaving.
 
-    The entries of the region tell the agent as well; this reading needs none
-    of them. All agents together read at most `AGENT_READS_PER_S` times a
-    second, so with up to that many agents each reads every second.
+    The entries of the region notify the agent as well; this does not depend on
+    them. All agents together read at most `AGENT_READS_PER_S` times a second,
+    so each of up to that many agents can read every second.
 
     Parameters
     ----------
     host_list
-        The platform's list.
+        The platform's host list.
     address
-        Address of the agent, as the list names it.
+        Address of the agent in the host list.
     drain
-        Drain of the agent.
+        Drain state of the agent.
     clock
         Clock of the process.
     agent_count
-        Returns how many agents the published version names; 0 if unknown.
+        Returns the number of agents in the published version; 0 if unknown.
     """
 
     def __init__(
@@ -53,19 +53,22 @@
 
     def interval_ms(self) -> float:
         """Return the time to the next read."""
-        share_ms = self._agent_count() * _MS_PER_S / AGENT_READS_PER_S
-        return max(MIN_INTERVAL_MS, share_ms)
+        fleet_interval_ms = self._agent_count() * _MS_PER_S / AGENT_READS_PER_S
+        return max(MIN_INTERVAL_MS, fleet_interval_ms)
 
     async def run(self) -> None:
-        """Read the list until cancelled, the agents spread over an interval."""
-        spread = xxhash.xxh32_intdigest(self._address.encode()) / 2**32
-        await self._clock.sleep_ms(spread * MIN_INTERVAL_MS)
+        """Poll the list until cancelled, at a time that depends on the address.
+
+        This spreads the reads of all agents over the interval.
+        """
+        phase = xxhash.xxh32_intdigest(self._address.encode()) / 2**32
+        await self._clock.sleep_ms(phase * MIN_INTERVAL_MS)
         while True:
             await self.read_once()
             await self._clock.sleep_ms(self.interval_ms())
 
     async def read_once(self) -> None:
-        """Read the list; an outage or a missing entry changes nothing."""
+        """Read the list; an outage or an unlisted host changes nothing."""
         try:
             hosts = await self._host_list.hosts()
         except StoreUnavailableError:
--- a/bergamotthread/process/membership/prober.py
+++ b/bergamotthread/process/membership/prober.py
@@ -1,4 +1,4 @@
-"""Schedule of probes: whom to ask, when to ask others, when to give up."""
+"""Schedule of probes: next target, indirect probes and timeouts."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     Parameters
     ----------
     source
-        Source of random order.
+        Source of randomness for the order.
     """
 
     def __init__(self, source: random.Random) -> None:
@@ -44,7 +44,7 @@
         self._relayed_by_sequence: dict[int, _Relayed] = {}
 
     def next_target(self, addresses: Sequence[str]) -> str | None:
-        """Return the next member of a random order without repetition."""
+        """Return the next member in random order, each once per round."""
         candidates = frozenset(addresses)
         while self._order:
             target = self._order.pop()
@@ -71,29 +71,29 @@
         target: str,
         now_ms: float,
     ) -> int:
-        """Return the sequence number of a probe made for another member."""
+        """Return the sequence number of a probe for another member."""
         self._sequence += 1
         relayed = _Relayed(requester, sequence, target, now_ms)
         self._relayed_by_sequence[self._sequence] = relayed
         return self._sequence
 
     def unwatched(self) -> int:
-        """Return the sequence number of a probe whose loss means nothing."""
+        """Return the sequence number of a probe without a timeout."""
         self._sequence += 1
         return self._sequence
 
     def answered(self, sequence: int) -> str | None:
-        """End a probe; return its target."""
+        """End a probe that was answered, and return its target."""
         pending = self._pending_by_sequence.pop(sequence, None)
         return pending.target if pending else None
 
     def answered_relay(self, sequence: int) -> tuple[str, int] | None:
-        """End a probe made for another; return that member and its number."""
+        """End a probe for another member; return that and its number."""
         relayed = self._relayed_by_sequence.pop(sequence, None)
         return (relayed.requester, relayed.sequence) if relayed else None
 
     def take_indirect(self, now_ms: float) -> tuple[tuple[int, str], ...]:
-        """Return number and target of probes to be tried through others."""
+        """Return number and target of the probes to repeat through others."""
         due = []
         for sequence, pending in self._pending_by_sequence.items():
             if now_ms >= pending.indirect_ms:
@@ -102,7 +102,7 @@
         return tuple(due)
 
     def take_failed(self, now_ms: float) -> tuple[str, ...]:
-        """Return the targets that didn't answer in time."""
+        """Return the targets of probes that timed out."""
         failed = []
         for sequence, pending in tuple(self._pending_by_sequence.items()):
             if now_ms - pending.sent_ms >= FAILED_AFTER_MS:
@@ -114,6 +114,6 @@
         return tuple(failed)
 
     def forget(self) -> None:
-        """Drop all probes in flight."""
+        """Discard all probes in flight."""
         self._pending_by_sequence.clear()
         self._relayed_by_sequence.clear()
--- a/bergamotthread/process/overload/fair_queue.py
+++ b/bergamotthread/process/overload/fair_queue.py
@@ -114,14 +114,20 @@
         Only new work counts; None if there is none.
         """
         backlog: Counter[str] = Counter()
-        new_work = [item for item in self._waiting if not item.is_resumption]
+        new_work = [
+            queued for queued in self._waiting if not queued.is_resumption
+        ]
         for queued in new_work:
             team = queued.dispatch.team
             backlog[team] += int(queued.cost / self._weight(team))
         if not backlog:
             return None
         heaviest = max(sorted(backlog), key=backlog.__getitem__)
-        return [item for item in new_work if item.dispatch.team == heaviest][-1]
+        return [
+            candidate
+            for candidate in new_work
+            if candidate.dispatch.team == heaviest
+        ][-1]
 
     def _weight(self, team: str) -> float:
         return max(self.weight_of(team), WEIGHT_MIN)
