--- a/bergamotthread/process/shares/__init__.py
+++ b/bergamotthread/process/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of teams across entries: from leases of shares and smoothed demand."""
+"""Limits of teams across entries, from leased shares and smoothed demand."""
--- a/bergamotthread/process/shares/rate_share.py
+++ b/bergamotthread/process/shares/rate_share.py
@@ -1,4 +1,4 @@
-"""Share of the store's rate that one process may use."""
+"""Rate limit of one process for accesses to the store."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass
 class RateShare:
-    """Token bucket with a part reserved for accesses that go first.
+    """Token bucket with a reserve for preferred accesses.
 
-    Accesses that may use the reserve are granted tokens in order of arrival;
-    the others are granted a token only while the reserve is full.
+    Preferred accesses are granted tokens in order of arrival; others are
+    granted a token only while the reserve is full.
 
     Parameters
     ----------
@@ -23,9 +23,9 @@
     per_s
         Tokens added each second.
     burst_s
-        Seconds of rate that the bucket holds.
+        Size of the bucket, as seconds of its rate.
     reserved
-        Part of the bucket, 0 to 1, that only preferred accesses may use.
+        Fraction of the bucket, 0 to 1, that only preferred accesses may use.
     """
 
     clock: Clock
@@ -45,10 +45,12 @@
         return max(2, self.per_s * self.burst_s)
 
     async def acquire(self, *, preferred: bool, limit_ms: float) -> bool:
-        """Wait for a token, at most `limit_ms`; return whether it came."""
+        """Wait up to `limit_ms` for a token; return whether it was granted."""
         self._fill()
-        floor = float(0) if preferred else self.capacity * self.reserved
-        wait_ms = (floor + 1 - self._tokens) / self.per_s * _MS_PER_S
+        reserve_tokens = (
+            float(0) if preferred else self.capacity * self.reserved
+        )
+        wait_ms = (reserve_tokens + 1 - self._tokens) / self.per_s * _MS_PER_S
         if wait_ms <= 0:
             self._tokens -= 1
             return True
--- a/bergamotthread/process/shares/share_home.py
+++ b/bergamotthread/process/shares/share_home.py
@@ -1,4 +1,4 @@
-"""Leases of teams' limits at the home entry of each team."""
+"""Leases of a team's limits, granted by the home entry of the team."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 from bergamotthread.wire.messages import TeamDemand, TeamShare
 
 LEASE_MS = 10_000
+# Views of the membership may differ between entries for this long.
 VIEW_LAG_MS = 10_000
 HOLD_MS = LEASE_MS + VIEW_LAG_MS
+# Leases are granted for this multiple of the demand.
 HEADROOM = 1.25
 
 
@@ -41,10 +43,11 @@
 class ShareHome:
     """Leases that this entry has granted for the teams it is the home of.
 
-    The sum of the leases granted here for a team never passes its pool. A
-    lease that isn't renewed stays counted for ten seconds longer than it is
-    valid, the time that views of the membership may differ; for the same time
-    a new home only renews what entries say they hold.
+    The sum of the leases that it grants for a team never exceeds the team's
+    pool. A lease that isn't renewed stays counted for `HOLD_MS`, which is ten
+    seconds longer than it is valid, since views of the membership may differ
+    for that long. For its first `HOLD_MS` a new home only renews what entries
+    report to hold.
 
     Parameters
     ----------
@@ -63,7 +66,7 @@
         self._home_by_team: dict[str, str] = {}
 
     def apply_view(self, entries: tuple[str, ...], now_ms: float) -> None:
-        """Take in the entries that may be homes."""
+        """Set the entries that can be homes."""
         if entries == self._entries:
             return
         self._past_views = [
@@ -74,13 +77,13 @@
         self._home_by_team.clear()
 
     def note_doubted(self, now_ms: float) -> None:
-        """Only renew for a while, since others may have taken over."""
+        """Only renew for `HOLD_MS`, since others may have taken over."""
         self._started_ms = now_ms
         for leases in self._leases_by_team.values():
             leases.renewal_only_until_ms = now_ms + HOLD_MS
 
     def home(self, team: str) -> str:
-        """Return the home of a team in the present view."""
+        """Return the home of a team in the current view."""
         home = self._home_by_team.get(team)
         if home is None:
             home = home_of(team, self._entries or (self._own,))
@@ -99,13 +102,13 @@
         Parameters
         ----------
         entry
-            Address of the entry that asks.
+            Address of the entry that requests it.
         demand
-            What it wants and holds.
+            Shares that the entry wants and holds.
         pool
-            Share of the limits that may be leased in all. It shrinks with the
-            share of entries that answer here, so that both sides of a
-            partition together stay in the limit.
+            Fraction of the limits that may be leased in total. It shrinks with
+            the fraction of entries that respond to this one, so that both
+            sides of a partition together stay within the limits.
         now_ms
             Monotonic time.
         """
@@ -115,8 +118,10 @@
         others = _drop_expired(leases, entry, now_ms)
         free = max(0, pool - sum(lease.share for lease in others))
         wanted = max(0, demand.wanted) * HEADROOM
-        level = _fair_level(pool, [wanted, *(one.wanted for one in others)])
-        share = min(wanted, level, free)
+        fair_level = _fair_level(
+            pool, [wanted, *(one.wanted for one in others)]
+        )
+        share = min(wanted, fair_level, free)
         if now_ms < leases.renewal_only_until_ms:
             share = min(share, demand.held)
         counted = max(share, demand.held)
@@ -135,11 +140,11 @@
         )
 
     def forget_idle(self, now_ms: float) -> None:
-        """Forget teams without leases and past their renewal-only time."""
+        """Remove teams that have no leases and are past renewal-only time."""
         for team, leases in tuple(self._leases_by_team.items()):
             _drop_expired(leases, '', now_ms)
-            idle = not leases.lease_by_entry
-            if idle and now_ms >= leases.renewal_only_until_ms:
+            is_idle = not leases.lease_by_entry
+            if is_idle and now_ms >= leases.renewal_only_until_ms:
                 self._leases_by_team.pop(team)
 
     def _leases(self, team: str, now_ms: float) -> _TeamLeases:
@@ -175,12 +180,12 @@
 
 
 def _fair_level(pool: float, wanted: list[float]) -> float:
-    """Return the max-min fair level at which the wants fill the pool."""
-    left = pool
+    """Return the max-min fair level at which the demands fill the pool."""
+    remaining = pool
     ascending = sorted(wanted)
-    for index, one in enumerate(ascending):
-        level = left / (len(ascending) - index)
-        if one >= level:
+    for index, share in enumerate(ascending):
+        level = remaining / (len(ascending) - index)
+        if share >= level:
             return level
-        left -= one
+        remaining -= share
     return pool
--- a/bergamotthread/process/shares/share_usage.py
+++ b/bergamotthread/process/shares/share_usage.py
@@ -1,4 +1,4 @@
-"""Use of one team's limits at one entry, within its share of them."""
+"""Use of one team's limits at one entry, within the entry's share."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 MIN_RETRY_AFTER_MS = 50
 DEMAND_WINDOW_MS = 2000
 BURST_MS = 1000
+# Requests that a bucket holds at least.
 FLOOR_BURST = 4
 MIN_FLOOR_SHARE = 0.1
 INITIAL_RELEASE_INTERVAL_MS = 1000
@@ -19,16 +20,27 @@
 
 
 def floor_share(entry_count: int) -> float:
-    """Return the part of each limit that is split equally, without leases.
+    """Return the fraction of each limit that is split equally without leases.
 
-    One entry has it all, few entries much of it, ten and more a tenth.
+    With one entry this is the whole limit, with `n` entries the `n`-th part of
+    it, and with ten or more a tenth.
     """
     return max(MIN_FLOOR_SHARE, 1 / max(1, entry_count))
 
 
 @dataclass(frozen=True)
 class Shortage:
-    """Limit that a request would pass, and when there is room again."""
+    """Limit that a request would exceed.
+
+    Parameters
+    ----------
+    limit
+        Name of the limit.
+    allowed
+        Part of the limit that this entry may use now.
+    retry_after_ms
+        Time until the request is expected to be allowed.
+    """
 
     limit: str
     allowed: float
@@ -36,18 +48,18 @@
 
 
 class ShareUsage:
-    """Token bucket and running count of one team at one entry.
+    """Token bucket and running requests of one team at one entry.
 
-    Each entry may always use an equal part of `floor_share`; the rest of the
-    limits is leased. A bucket holds what one second brings, and at least four
-    requests.
+    Each entry may always use an equal part of `floor_share`, its floor; the
+    rest of the limits is leased. The bucket holds the requests of one second,
+    and at least four.
 
     Parameters
     ----------
     team
         The team with its limits.
     entry_count
-        Number of entries that split it.
+        Number of entries that split the limits.
     now_ms
         Monotonic time.
     """
@@ -62,13 +74,15 @@
         self._filled_ms = now_ms
         self._tokens = self._depth(self._rate(now_ms))
         self._demand = float(0)
+        # Cost of refused requests that were told when to retry.
         self._promised = float(0)
+        # Refused requests that wait for a running one to end.
         self._waiting = 0
         self._released_ms = now_ms
         self._release_interval_ms = float(INITIAL_RELEASE_INTERVAL_MS)
 
     def resize(self, team: Team, entry_count: int, now_ms: float) -> None:
-        """Take in other limits or another number of entries."""
+        """Apply changed limits or another number of entries."""
         self._fill(now_ms)
         self.team = team
         self._entry_count = max(1, entry_count)
@@ -80,12 +94,12 @@
         self.lease_until_ms = until_ms
 
     def reduce_lease(self, share: float, now_ms: float) -> None:
-        """Give up what a lease holds above `share`."""
+        """Reduce the leased share to at most `share`."""
         self._fill(now_ms)
         self.leased = min(self.leased, share)
 
     def take(self, cost: float, now_ms: float) -> Shortage | None:
-        """Count a request that starts, or tell which limit it would pass."""
+        """Count a request that starts, or return the limit it would exceed."""
         self._fill(now_ms)
         self._demand += cost
         rate = self._rate(now_ms)
@@ -104,7 +118,7 @@
         return None
 
     def release(self, now_ms: float) -> None:
-        """Count a request that ended."""
+        """Record the end of a request."""
         self.running = max(0, self.running - 1)
         self._waiting = max(0, self._waiting - 1)
         interval_ms = now_ms - self._released_ms
@@ -113,7 +127,7 @@
         self._release_interval_ms += RELEASE_SMOOTHING * change_ms
 
     def wanted(self, now_ms: float) -> float:
-        """Return the share of the limits that the demand here asks for."""
+        """Return the share of the limits that the demand here requires."""
         self._fill(now_ms)
         per_s = self._demand * _MS_PER_S / DEMAND_WINDOW_MS
         return max(
@@ -122,9 +136,9 @@
         )
 
     def held(self, now_ms: float) -> float:
-        """Return the share in use: what is leased, or still running."""
-        running = self.running / self.team.concurrent_generations
-        return max(self._valid_lease(now_ms), running - self.floor)
+        """Return the share in use: leased, or still running above the floor."""
+        running_share = self.running / self.team.concurrent_generations
+        return max(self._valid_lease(now_ms), running_share - self.floor)
 
     @property
     def floor(self) -> float:
@@ -132,7 +146,7 @@
         return floor_share(self._entry_count) / self._entry_count
 
     def needs_lease(self, now_ms: float) -> bool:
-        """Return whether the floor alone is being used up."""
+        """Return whether more than half of what is allowed is in use."""
         self._fill(now_ms)
         half_depth = self._depth(self._rate(now_ms)) / 2
         half_running = self._allowed_running(now_ms) / 2
@@ -143,10 +157,10 @@
         return self.wanted(now_ms) * self.team.requests_per_s
 
     def is_idle(self, now_ms: float) -> bool:
-        """Return whether nothing is lost by forgetting the team."""
-        full = self._tokens >= self._depth(self._rate(now_ms))
-        leased = self._valid_lease(now_ms) > 0
-        return not self.running and not leased and full
+        """Return whether the team can be removed without loss of state."""
+        is_full = self._tokens >= self._depth(self._rate(now_ms))
+        is_leased = self._valid_lease(now_ms) > 0
+        return not self.running and not is_leased and is_full
 
     def _valid_lease(self, now_ms: float) -> float:
         return self.leased if now_ms < self.lease_until_ms else 0
@@ -160,8 +174,8 @@
         return max(1, share * self.team.concurrent_generations)
 
     def _fill(self, now_ms: float) -> None:
-        passed_ms = now_ms - self._filled_ms
-        if passed_ms <= 0:
+        elapsed_ms = now_ms - self._filled_ms
+        if elapsed_ms <= 0:
             return
         gained = self._gained(now_ms)
         self._filled_ms = now_ms
@@ -169,7 +183,7 @@
         filled = min(self._tokens + gained, self._depth(rate))
         self._tokens = max(filled, min(self._tokens, self._depth(rate)))
         self._promised = max(0, self._promised - gained)
-        self._demand *= math.exp(-passed_ms / DEMAND_WINDOW_MS)
+        self._demand *= math.exp(-elapsed_ms / DEMAND_WINDOW_MS)
 
     def _gained(self, now_ms: float) -> float:
         leased_ms = min(now_ms, self.lease_until_ms) - self._filled_ms
--- a/bergamotthread/process/shares/shares.py
+++ b/bergamotthread/process/shares/shares.py
@@ -34,25 +34,30 @@
 TICK_MS = 1000
 RENEW_MS = 5000
 RENEW_CONTENDED_MS = 2000
+# Ticks that are this far apart mean that the process was paused.
 PAUSE_MS = 2000
 FORGET_INTERVAL_MS = 10_000
 BYTES_PER_S = 6144
 BURST_BYTES = 12_288
+# Part of the burst that is kept for answers to the requests of other entries.
 ANSWER_RESERVE_BYTES = 4096
+# Estimated size of a message, and of each team in it.
 MESSAGE_BYTES = 90
 TEAM_BYTES = 28
+# No lease is requested for demand up to this fraction of the floor.
 FLOOR_USE = 0.5
+# A lease is reduced early if less than this fraction of it is needed.
 KEPT_USE = 0.7
 
 
 class EntryView(Protocol):
-    """What the limits need to know of the membership."""
+    """View of the membership that the limits depend on."""
 
     def responsive_entries(self) -> tuple[str, ...]:
-        """Return the entries that answer, the own one too."""
+        """Return the responsive entries, including the own one."""
 
     def reachable_share(self) -> float:
-        """Return the share of all entries that answer."""
+        """Return the fraction of all entries that respond."""
 
 
 @dataclass
@@ -63,7 +68,7 @@
 
 @dataclass
 class ShareCounters:
-    """Events since the start, for metrics."""
+    """Counts of events since the start, for metrics."""
 
     admitted: int = 0
     refused: int = 0
@@ -71,7 +76,7 @@
 
 
 class TeamLimits:
-    """Admission of requests within the limits of their teams.
+    """Admits requests within the limits of their teams.
 
     Parameters
     ----------
@@ -80,7 +85,7 @@
     clock
         Clock of the process.
     view
-        The membership.
+        View of the membership.
     """
 
     def __init__(
@@ -105,31 +110,31 @@
         self._ticked_ms = now_ms
 
     def apply_version(self, version: PublishedVersion) -> None:
-        """Take in the limits of a published version."""
+        """Apply the limits of a published version."""
         self._version = version
         now_ms = self._clock.now_ms()
-        count = self._entry_count()
+        entry_count = self._entry_count()
         for name, usage in tuple(self._usage_by_team.items()):
             team = version.teams_by_name.get(name)
             if team is None:
                 self._usage_by_team.pop(name)
             else:
-                usage.resize(team, count, now_ms)
+                usage.resize(team, entry_count, now_ms)
 
     def try_admit(self, team: str, cost: float = 1) -> Refusal | None:
-        """Count a request that starts, or return why it may not.
+        """Count a request that starts, or return why it is refused.
 
         Parameters
         ----------
         team
             Name of the team.
         cost
-            Units of its rate that the request takes.
+            Units of the team's rate that the request takes.
 
         Returns
         -------
         Refusal or None
-            None where the request may start; `release` ends it.
+            None if the request may start; `release` ends it.
         """
         published = (
             self._version.teams_by_name.get(team) if self._version else None
@@ -146,13 +151,13 @@
         return self._refusal(published, shortage)
 
     def release(self, team: str) -> None:
-        """Count an admitted request that has ended."""
+        """Record the end of an admitted request."""
         usage = self._usage_by_team.get(team)
         if usage is not None:
             usage.release(self._clock.now_ms())
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message; those of other matters are ignored."""
+        """Handle a message about shares; other messages are ignored."""
         match envelope.message:
             case ShareRequests() as requests:
                 self._answer(envelope, requests)
@@ -160,7 +165,7 @@
                 self._apply_grants(envelope.sender, grants)
 
     def note_doubted(self) -> None:
-        """Note that others took this entry for lost for a while."""
+        """Record that other entries suspected this one for a while."""
         self.home.note_doubted(self._clock.now_ms())
 
     async def run(self) -> None:
@@ -170,7 +175,7 @@
             await self._clock.sleep_ms(TICK_MS)
 
     def tick(self) -> None:
-        """Ask for the leases that are due."""
+        """Request the leases that are due."""
         now_ms = self._clock.now_ms()
         if now_ms - self._ticked_ms >= PAUSE_MS:
             self.note_doubted()
@@ -191,7 +196,7 @@
             self._ask(home, tuple(demands), now_ms)
 
     def _due_teams(self, now_ms: float) -> list[str]:
-        """Return the teams whose lease is due, by falling demand."""
+        """Return the teams whose lease is due, in order of falling demand."""
         due = []
         for name in tuple(self._active):
             usage = self._usage_by_team.get(name)
@@ -199,7 +204,7 @@
                 self._active.discard(name)
             elif self._is_due(name, usage, now_ms):
                 due.append((usage.wanted_per_s(now_ms), name))
-        return [one for _, one in sorted(due, reverse=True)]
+        return [name for _, name in sorted(due, reverse=True)]
 
     def _usage(self, team: Team) -> ShareUsage:
         usage = self._usage_by_team.get(team.name)
@@ -210,17 +215,19 @@
         return usage
 
     def _entry_count(self) -> int:
-        responsive = len(self._view.responsive_entries())
-        return math.ceil(responsive / max(self._view.reachable_share(), 1e-3))
+        responsive_count = len(self._view.responsive_entries())
+        return math.ceil(
+            responsive_count / max(self._view.reachable_share(), 1e-3)
+        )
 
     def _is_due(self, name: str, usage: ShareUsage, now_ms: float) -> bool:
         asked_ms = self._asked_ms_by_team.get(name, -math.inf)
         wanted = usage.wanted(now_ms)
-        leased = usage.held(now_ms)
-        short = wanted > leased + usage.floor
-        unused = wanted * HEADROOM < leased * KEPT_USE
-        urgent = usage.contended or short or unused
-        interval_ms = RENEW_CONTENDED_MS if urgent else RENEW_MS
+        held = usage.held(now_ms)
+        is_short = wanted > held + usage.floor
+        has_surplus = wanted * HEADROOM < held * KEPT_USE
+        is_urgent = usage.contended or is_short or has_surplus
+        interval_ms = RENEW_CONTENDED_MS if is_urgent else RENEW_MS
         return now_ms - asked_ms >= interval_ms
 
     def _ask(
@@ -236,8 +243,8 @@
             return
         if not self._may_ask(len(demands), now_ms):
             return
-        known = self._request_by_home.get(home)
-        sequence = known.sequence + 1 if known else 1
+        previous = self._request_by_home.get(home)
+        sequence = previous.sequence + 1 if previous else 1
         self._request_by_home[home] = _Request(sequence, now_ms)
         for demand in demands:
             self._asked_ms_by_team[demand.team] = now_ms
@@ -257,8 +264,8 @@
         self._transport.send(envelope.sender, grants)
 
     def _grant(self, entry: str, demand: TeamDemand) -> TeamShare:
-        reachable = self._view.reachable_share()
-        pool = (1 - floor_share(self._entry_count())) * reachable
+        reachable_fraction = self._view.reachable_share()
+        pool = (1 - floor_share(self._entry_count())) * reachable_fraction
         return self.home.grant(entry, demand, pool, self._clock.now_ms())
 
     def _apply_grants(self, home: str, grants: ShareGrants) -> None:
@@ -281,8 +288,10 @@
             usage.set_lease(share.share, from_ms + lease_ms, now_ms)
 
     def _may_ask(self, team_count: int, now_ms: float) -> bool:
-        left = self._budget.available(now_ms) - _byte_count(team_count)
-        if left >= ANSWER_RESERVE_BYTES:
+        remaining_bytes = self._budget.available(now_ms) - _byte_count(
+            team_count
+        )
+        if remaining_bytes >= ANSWER_RESERVE_BYTES:
             return self._may_send(team_count, now_ms)
         self.counters.unsent += 1
         return False
@@ -295,9 +304,9 @@
 
     def _forget_idle(self, now_ms: float) -> None:
         self.home.forget_idle(now_ms)
-        count = self._entry_count()
+        entry_count = self._entry_count()
         for name, usage in tuple(self._usage_by_team.items()):
-            usage.resize(usage.team, count, now_ms)
+            usage.resize(usage.team, entry_count, now_ms)
             if usage.is_idle(now_ms):
                 self._usage_by_team.pop(name)
                 self._asked_ms_by_team.pop(name, None)
@@ -307,8 +316,8 @@
         return Refusal(
             reason=ReasonCode.OVER_LIMIT,
             detail=(
-                f'team {team.name} is over its {shortage.limit} of {limit}; '
-                f'{shortage.allowed:.3g} are leased to this entry'
+                f'team {team.name} exceeds its {shortage.limit} of {limit}; '
+                f'this entry may use {shortage.allowed:.3g} of it'
             ),
             step=Step.ADMIT,
             ran=Ran.NOT_RUN,
@@ -332,7 +341,7 @@
 
 
 def _demand(name: str, usage: ShareUsage, now_ms: float) -> TeamDemand:
-    """Return the demand of a team, after giving up what it doesn't use."""
+    """Return the demand of a team, after reducing its lease to that."""
     wanted = usage.wanted(now_ms)
     if wanted <= usage.floor * FLOOR_USE:
         wanted = 0
--- a/bergamotthread/process/shares/team_usage.py
+++ b/bergamotthread/process/shares/team_usage.py
@@ -1,4 +1,4 @@
-"""Smoothed demand and use of teams at one process."""
+"""Smoothed demand and use of each team at one process."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 class Usage:
     """Requests offered and in flight, smoothed over `SMOOTHING_MS`.
 
-    `offered` counts all requests, also refused ones, and decays; `smoothed`
-    follows `in_flight`. Both are linear, so that teams' figures add up.
+    `offered` counts all requests, including refused ones, and decays;
+    `smoothed` follows `in_flight`. Both are linear, so the values of all teams
+    add up to the total.
     """
 
     updated_ms: float
@@ -26,23 +27,27 @@
     offered: float = 0
 
     def advance(self, now_ms: float) -> None:
-        """Bring the smoothed figures up to now."""
-        kept = math.exp((self.updated_ms - now_ms) / SMOOTHING_MS)
-        self.smoothed += (self.in_flight - self.smoothed) * (1 - kept)
-        self.offered *= kept
+        """Update the smoothed values to the current time."""
+        decay = math.exp((self.updated_ms - now_ms) / SMOOTHING_MS)
+        self.smoothed += (self.in_flight - self.smoothed) * (1 - decay)
+        self.offered *= decay
         self.updated_ms = now_ms
 
 
 @dataclass(frozen=True)
 class TeamShare:
-    """A team's figures against those of all other active teams.
+    """Usage of a team compared with all other active teams.
 
     Parameters
     ----------
+    usage
+        Usage of the team.
     part
-        Weight of the team over that of all active teams.
+        Weight of the team divided by that of all active teams.
+    total_smoothed
+        Smoothed requests in flight of all teams.
     others_mean_offered, others_mean_smoothed
-        Figures of the other teams, scaled to this team's weight.
+        Values of the other teams, scaled to this team's weight.
     """
 
     usage: Usage
@@ -54,7 +59,7 @@
 
 @dataclass
 class TeamUsage:
-    """Usage of all teams that were active within `ACTIVE_TEAM_MS`."""
+    """Usage of all teams that were active in the last `ACTIVE_TEAM_MS`."""
 
     weight_of: Callable[[str], float]
     total: Usage
@@ -74,7 +79,7 @@
         self.total.in_flight += change
 
     def share(self, team: str, now_ms: float) -> TeamShare:
-        """Return a team's figures now."""
+        """Return the current usage of a team compared with the others."""
         usage = self._see(team, now_ms)
         weight = self._weight_by_team[team]
         others_weight = max(self._weight - weight, WEIGHT_MIN)
@@ -103,7 +108,7 @@
         return usage
 
     def _forget_idle(self, since_ms: float) -> None:
-        """Drop teams from the least recently seen on."""
+        """Remove teams not seen since then, least recently seen first."""
         oldest = next(iter(self._usage_by_team))
         while self._seen_ms_by_team[oldest] < since_ms:
             if self._usage_by_team[oldest].in_flight:
