--- a/bergamotthread/process/orders/__init__.py
+++ b/bergamotthread/process/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines: from the lease of a region and its fencing number."""
+"""Orders to engines, protected by the lease of a region and its fence."""
--- a/bergamotthread/process/orders/engine_orders.py
+++ b/bergamotthread/process/orders/engine_orders.py
@@ -1,4 +1,4 @@
-"""Carries out orders that the gate let through, at the engine."""
+"""Execution of the orders that the gate admits, at the engine."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class EngineOrders(EngineControl):
-    """Passes orders on to an engine client."""
+    """Forwards orders to an engine client."""
 
     def __init__(self, engine: EngineClient) -> None:
         self._engine = engine
 
     async def execute(self, order: Order) -> None:
-        """Carry out an order.
+        """Execute an order.
 
         Raises
         ------
@@ -38,13 +38,13 @@
         )
         if not accepted:
             raise EngineRefusedError(
-                f'engine refused fence {order.fence}',
+                f'engine refused an order with fence {order.fence}',
                 step=Step.ORDER,
             )
 
 
 class OrderInbox:
-    """Answers orders that arrive at an agent."""
+    """Executes and answers orders that arrive at an agent."""
 
     def __init__(
         self,
@@ -58,10 +58,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in an order; other messages are passed over."""
+        """Handle an order; other messages are ignored."""
         if isinstance(envelope.message, Order):
-            work = self._answer(envelope.sender, envelope.message)
-            task = asyncio.create_task(work)
+            answer = self._answer(envelope.sender, envelope.message)
+            task = asyncio.create_task(answer)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
--- a/bergamotthread/process/orders/order_gate.py
+++ b/bergamotthread/process/orders/order_gate.py
@@ -1,4 +1,4 @@
-"""Gate of an agent that lets only orders of the newest fence through."""
+"""Gate of an agent that only admits orders with the newest fence."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class EngineControl(abc.ABC):
-    """Carries out orders at the engine beside an agent."""
+    """Executes orders at the engine beside an agent."""
 
     @abc.abstractmethod
     async def execute(self, order: Order) -> None:
-        """Carry out an order; the same one again is no error.
+        """Execute an order; repeating the same order is not an error.
 
         Raises
         ------
         BergamotError
-            If the engine refuses it or doesn't answer.
+            If the engine refuses the order or doesn't answer.
         """
 
 
 class OrderGate:
-    """Refuses orders with an old fence, for engines that ignore fences.
+    """Refuses orders with an outdated fence, for engines that ignore fences.
 
-    The highest fence is reread from the table before each order is carried
-    out, not only before the first, since an order may be under way while
-    another process takes the lease over. Without the table nothing is
-    carried out; traffic doesn't depend on orders.
+    The highest fence is read from the table again before each order, not only
+    before the first, since another process may take over the lease while an
+    order is being executed. If the table can't be read, no order is executed;
+    traffic doesn't depend on orders.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     region
         Region of the agent.
     engine
-        Carries out the orders.
+        Executes the orders.
     """
 
     def __init__(
@@ -71,16 +71,22 @@
 
     async def _check_and_execute(self, order: Order) -> OrderReply:
         if order.region != self._region:
-            return _refuse(order, order.fence, 'order of another region')
+            return _refuse(order, order.fence, 'order is for another region')
         try:
             await self._reread_fence()
         except StoreUnavailableError:
-            return _refuse(order, order.fence, 'fence can not be read')
+            return _refuse(
+                order, order.fence, 'fence can not be read from the store'
+            )
         if order.fence < self._highest_fence:
-            reason = f'fence {order.fence} is below {self._highest_fence}'
+            reason = (
+                f'fence {order.fence} is below the newest {self._highest_fence}'
+            )
             return _refuse(order, self._highest_fence, reason)
         if (order.fence, order.number) < self._last_stamp:
-            return _refuse(order, order.fence, 'order is late')
+            return _refuse(
+                order, order.fence, 'order is older than the last one executed'
+            )
         self._highest_fence = order.fence
         try:
             await self._engine.execute(order)
--- a/bergamotthread/process/orders/orders.py
+++ b/bergamotthread/process/orders/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engines of a region, from its lease holder."""
+"""Orders to the engines of a region, sent by its lease holder."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class OrderAction(enum.StrEnum):
-    """What an order tells the engine to do with a pin."""
+    """Action on a pin that an order requests from the engine."""
 
     LOAD = 'load'
     UNLOAD = 'unload'
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class WeightRate:
-    """Rate of the weight store that one region may use, in bytes."""
+    """Rate limit of one region for loads from the weight store, in bytes."""
 
     bytes_per_s: float = 2_000_000_000
     burst_bytes: float = 200_000_000_000
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class PlannedOrder:
-    """Order that is due, with the bytes that it loads."""
+    """Order that is due, with the bytes to load."""
 
     agent: str
     action: OrderAction
@@ -62,25 +62,25 @@
     demand_by_pin: Mapping[Pin, float],
     busy: frozenset[str],
 ) -> tuple[PlannedOrder, ...]:
-    """Return at most one order per upstream, the most needed first.
+    """Return at most one order per upstream, most needed first.
 
     Parameters
     ----------
     upstreams
-        Published upstreams of the region; each is to run the pins it names.
+        Published upstreams of the region, with the pins that each should run.
     models_by_name
         Published models.
     loaded_by_agent
-        Pins that each agent's engine is known to have loaded.
+        Pins that each agent's engine has reported as loaded.
     demand_by_pin
-        Demand of each pin, in requests per second.
+        Demand for each pin, in requests per second.
     busy
-        Agents that still carry out an order.
+        Agents that are still executing an order.
 
     Returns
     -------
     tuple of PlannedOrder
-        By falling demand per upstream that has the pin loaded.
+        In order of falling demand per upstream that has the pin loaded.
     """
     loaded_counts = _count_loaded(loaded_by_agent)
     ranked = []
@@ -93,7 +93,7 @@
             demand = demand_by_pin.get(order.pin, 0)
             need = demand / (1 + loaded_counts.get(order.pin, 0))
             ranked.append((-need, order.agent, order))
-    ranked.sort(key=lambda one: one[:2])
+    ranked.sort(key=lambda ranked_order: ranked_order[:2])
     return tuple(order for _, _, order in ranked)
 
 
@@ -113,13 +113,15 @@
 ) -> PlannedOrder | None:
     missing = [pin for pin in upstream.models if pin not in loaded]
     if missing:
-        pin = max(missing, key=lambda one: demand_by_pin.get(one, 0))
+        pin = max(
+            missing, key=lambda candidate: demand_by_pin.get(candidate, 0)
+        )
         model = models_by_name.get(pin.model)
         load_bytes = model.load_bytes if model else 0
         return PlannedOrder(upstream.agent, OrderAction.LOAD, pin, load_bytes)
     excess = sorted(
         loaded.difference(upstream.models),
-        key=lambda one: (one.model, one.version, one.adapter),
+        key=lambda pin: (pin.model, pin.version, pin.adapter),
     )
     if excess:
         return PlannedOrder(upstream.agent, OrderAction.UNLOAD, excess[0])
@@ -138,13 +140,13 @@
     region
         The region.
     lease
-        Its lease.
+        Lease of the region.
     rate
-        What the region may load from the weight store.
+        Rate limit of the region for loads from the weight store.
     demand
-        Returns the demand of each pin, in requests per second.
+        Returns the demand for each pin, in requests per second.
     on_order
-        Called with the agent and each order that is sent.
+        Called with the agent and the order for each order that is sent.
     """
 
     def __init__(
@@ -174,7 +176,7 @@
         self._sent_by_agent: dict[str, _Sent] = {}
 
     def apply_version(self, version: PublishedVersion) -> None:
-        """Take in a published version."""
+        """Apply a published version."""
         self._models_by_name = version.models_by_name
         self._upstreams = tuple(
             upstream
@@ -183,7 +185,7 @@
         )
 
     async def run(self) -> None:
-        """Send what is due until cancelled."""
+        """Send orders that are due until cancelled."""
         while True:
             self.tick()
             await self._clock.sleep_ms(TICK_MS)
@@ -207,7 +209,7 @@
                 return
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message; those of other matters are ignored."""
+        """Handle a reply to an order; other messages are ignored."""
         match envelope.message:
             case OrderReply(fence=fence) as reply if fence == self._fence:
                 self._apply_reply(envelope.sender, reply)
@@ -215,7 +217,7 @@
                 self._lease.give_up()
 
     def _start_over(self) -> None:
-        """Forget what an earlier term knew; agents tell it again."""
+        """Discard the state of an earlier term; agents report it again."""
         self._fence = self._lease.fence
         self._loaded_by_agent.clear()
         self._sent_by_agent.clear()
--- a/bergamotthread/process/orders/region_lease.py
+++ b/bergamotthread/process/orders/region_lease.py
@@ -1,4 +1,4 @@
-"""Lease on a row of the platform's table, one per region, with a fence."""
+"""Lease of a region with a fence, stored as a row of the platform's table."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """Content of the row; `attempt` tells the writer its own write."""
+    """Content of the row; `attempt` identifies the write to its writer."""
 
     holder: str
     fence: int
@@ -37,19 +37,20 @@
 
 
 def decode_lease(row: Row | None) -> LeaseRow | None:
-    """Return the content of a row, or None where there is none."""
+    """Return the content of a row, or None if there is no row."""
     if row is None:
         return None
     return msgspec.json.decode(row.body, type=LeaseRow)
 
 
 class RegionLease:
-    """Lease of one region as one process sees it.
+    """View of one process on the lease of one region.
 
-    The holder counts its time from before the write that renewed it. Others
-    count from when they first saw the row's revision, and take over where it
-    hasn't changed for longer than the lease, with the next fence. Both use
-    their own monotonic clock, so no calendar has to agree.
+    The holder measures the lease from before the write that renewed it. Other
+    processes measure from when they first saw the current revision of the row.
+    If it doesn't change for longer than the lease, they take over with the
+    next fence. All use their own monotonic clocks, so calendar clocks need not
+    agree.
 
     Parameters
     ----------
@@ -89,7 +90,7 @@
         return self.fence > 0 and self._clock.now_ms() < self._valid_until_ms
 
     def give_up(self) -> None:
-        """Stop to act as the holder, since a newer fence was seen."""
+        """Stop acting as the holder, since a newer fence was seen."""
         self._valid_until_ms = float(0)
 
     async def run(self, is_candidate: Callable[[], bool]) -> None:
@@ -100,7 +101,7 @@
             await self._clock.sleep_ms(RENEW_MS)
 
     async def step(self) -> None:
-        """Read the row once, and renew or take over where that is due."""
+        """Read the row once, and renew or take over the lease if due."""
         try:
             await self._step()
         except StoreUnavailableError:
@@ -121,7 +122,7 @@
             await self._write(expected=row.revision, fence=lease.fence + 1)
 
     def _recognise(self, row: Row, lease: LeaseRow) -> None:
-        """Take in a write of this process whose answer was lost."""
+        """Detect an own write whose reply was lost, and changes of the row."""
         sent_ms = self._attempt_sent_ms.get(lease.attempt)
         if sent_ms is not None and lease.fence >= self.fence:
             self._hold(lease.fence, sent_ms)
@@ -135,8 +136,8 @@
         seen = self._seen
         if seen is None or seen.revision != row.revision:
             return False
-        watched_ms = self._clock.now_ms() - seen.since_ms
-        return watched_ms >= LEASE_MS + TAKE_OVER_MARGIN_MS
+        unchanged_ms = self._clock.now_ms() - seen.since_ms
+        return unchanged_ms >= LEASE_MS + TAKE_OVER_MARGIN_MS
 
     async def _write(self, *, expected: int, fence: int) -> None:
         self._attempts += 1
