--- a/bergamotthread/process/shares/shares.py
+++ b/bergamotthread/process/shares/shares.py
@@ -204,7 +204,7 @@
                 self._active.discard(name)
             elif self._is_due(name, usage, now_ms):
                 due.append((usage.wanted_per_s(now_ms), name))
-        return [name for _, name in sorted(due, reverse=True)]
+        return [team for _, team in sorted(due, reverse=True)]
 
     def _usage(self, team: Team) -> ShareUsage:
         usage = self._usage_by_team.get(team.name)
--- a/tests/placement_fixtures.py
+++ b/tests/placement_fixtures.py
@@ -17,7 +17,7 @@
 
 @dataclass
 class ManualTime:
-    """Time in seconds that a test advances."""
+    """Clock in seconds that a test advances."""
 
     elapsed_s: float = 1000
 
@@ -37,12 +37,16 @@
     stops: tuple[Stop, ...] = (),
     regions: int = 2,
 ) -> PublishedVersion:
-    """Upstreams a0, a1, ... in turn in r0d0, r1d0, r0d1, r1d1, ..."""
+    """Return a version with upstreams a0, a1, ... in r0d0, r1d0, r0d1, ..."""
     region_names = [f'r{index}' for index in range(regions)]
-    domains = [f'{name}d{one}' for one in range(2) for name in region_names]
+    domains = [
+        f'{name}d{domain}' for domain in range(2) for name in region_names
+    ]
     object_set = ObjectSet(
         regions=tuple(Region(name, 20) for name in region_names),
-        failure_domains=tuple(FailureDomain(one, one[:2]) for one in domains),
+        failure_domains=tuple(
+            FailureDomain(domain, domain[:2]) for domain in domains
+        ),
         upstreams=tuple(
             Upstream(
                 name=f'u{index}',
@@ -64,7 +68,7 @@
 
 
 def dispatch(generation: str = 'g', **fields) -> Dispatch:
-    """Dispatch whose prompt is its length in tokens as text."""
+    """Return a dispatch whose prompt text is its length in tokens."""
     defaults = {
         'attempt': 1,
         'pin': PIN,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -38,7 +38,7 @@
     return [one.generation for one in gate.next_ready()]
 
 
-def test_runs_until_full_then_queues_then_starts_on_an_end() -> None:
+def test_full_engine_queues_work_until_an_attempt_ends() -> None:
     gate = _gate(ManualTime(), max_running=2)
     _fill(gate, 2)
     assert isinstance(gate.offer(dispatch('a')), Queued)
@@ -48,7 +48,7 @@
     assert gate.load_report().running == 2
 
 
-def test_resumptions_go_first_whatever_their_team_has_used() -> None:
+def test_resumed_attempts_go_first_whatever_their_team_has_used() -> None:
     gate = _gate(ManualTime(), max_running=1)
     _fill(gate, 1)
     gate.offer(dispatch('new'))
@@ -57,7 +57,7 @@
     assert _started(gate) == ['resumed']
 
 
-def test_prefill_under_way_is_bounded_until_the_first_token() -> None:
+def test_prefill_in_progress_is_limited_until_the_first_token() -> None:
     gate = _gate(ManualTime(), prefill_tokens=2500)
     _fill(gate, 2)
     assert isinstance(gate.offer(dispatch('c')), Queued)
@@ -65,8 +65,8 @@
     assert _started(gate) == ['c']
 
 
-def test_resumption_starts_beyond_the_prefill_bound_of_new_work() -> None:
-    """A caller in the middle of an answer waits; up to twice the bound."""
+def test_resumed_attempt_may_exceed_the_prefill_limit_of_new_work() -> None:
+    """The caller waits in the middle of an answer; the limit is doubled."""
     gate = _gate(ManualTime(), prefill_tokens=2500)
     assert isinstance(gate.offer(dispatch('a', prompt='2000')), Run)
     assert isinstance(gate.offer(dispatch('new', prompt='1000')), Queued)
@@ -76,13 +76,13 @@
     assert isinstance(gate.offer(third), Queued)
 
 
-def test_one_prompt_above_the_prefill_bound_runs_alone() -> None:
+def test_prompt_above_the_prefill_limit_runs_alone() -> None:
     gate = _gate(ManualTime(), prefill_tokens=2500)
     assert isinstance(gate.offer(dispatch('a', prompt='9000')), Run)
     assert isinstance(gate.offer(dispatch('b', prompt='10')), Queued)
 
 
-def test_cache_capacity_counts_expected_output() -> None:
+def test_kv_cache_is_reserved_for_expected_output() -> None:
     gate = _gate(ManualTime(), kv_capacity=2250)
     _fill(gate, 2)
     assert isinstance(gate.offer(dispatch('c', prompt='51')), Queued)
@@ -92,7 +92,7 @@
     assert gate.load_report().kv_tokens == 1300 + 151
 
 
-def test_prompt_that_never_fits_is_refused() -> None:
+def test_prompt_larger_than_the_kv_cache_is_refused() -> None:
     gate = _gate(ManualTime(), kv_capacity=900)
     refused = gate.offer(dispatch('a'))
     assert isinstance(refused, Refused)
@@ -126,7 +126,7 @@
     assert refused.reason is ReasonCode.DEADLINE
 
 
-def test_retry_after_is_the_time_until_it_would_be_queued() -> None:
+def test_retry_after_is_the_time_until_work_would_be_queued() -> None:
     time = ManualTime()
     gate = _gate(time, max_running=1, queue_wait_ms=2000)
     gate.running.statistics.run_ms = 900
@@ -143,7 +143,7 @@
     assert isinstance(gate.offer(dispatch('c', attempt=2)), Queued)
 
 
-def test_resumption_is_queued_beyond_the_wait_of_new_work() -> None:
+def test_resumed_attempt_may_wait_longer_than_new_work() -> None:
     gate = _gate(ManualTime(), max_running=1, queue_wait_ms=0)
     _fill(gate, 1)
     assert isinstance(gate.offer(dispatch('new')), Refused)
@@ -151,7 +151,7 @@
     assert isinstance(resumed, Queued)
 
 
-def test_full_queue_gives_up_the_newest_of_the_heaviest_team() -> None:
+def test_full_queue_refuses_the_newest_work_of_the_heaviest_team() -> None:
     gate = _gate(ManualTime(), max_running=1, max_queued=3)
     _fill(gate, 1)
     for index in range(3):
@@ -186,7 +186,7 @@
     decisions = [
         gate.offer(dispatch(f'b{index}', team='busy')) for index in range(9)
     ]
-    assert sum(isinstance(one, Run) for one in decisions) == 6
+    assert sum(isinstance(decision, Run) for decision in decisions) == 6
     assert isinstance(gate.offer(dispatch('t', team='third')), Run)
 
 
@@ -195,7 +195,7 @@
     _fill(gate, 8)
 
 
-def test_suspects_never_share_an_engine() -> None:
+def test_suspect_requests_never_share_an_engine() -> None:
     gate = _gate(ManualTime())
     assert isinstance(gate.offer(dispatch('a', suspect=True)), Run)
     assert isinstance(gate.offer(dispatch('b', suspect=True)), Queued)
@@ -204,7 +204,7 @@
     assert _started(gate) == ['b']
 
 
-def test_doubled_and_late_dispatches_never_start_twice() -> None:
+def test_duplicate_and_late_dispatches_never_start_twice() -> None:
     gate = _gate(ManualTime(), max_running=1)
     _fill(gate, 1)
     gate.offer(dispatch('a'))
@@ -217,7 +217,7 @@
     assert gate.load_report().running == 0
 
 
-def test_revoke_is_true_only_where_nothing_was_started() -> None:
+def test_revoke_is_true_only_if_the_attempt_was_not_started() -> None:
     gate = _gate(ManualTime(), max_running=1)
     _fill(gate, 1)
     gate.offer(dispatch('queued'))
@@ -236,7 +236,7 @@
     assert isinstance(gate.offer(dispatch('g', attempt=2)), Run)
 
 
-def test_drain_refuses_new_and_queued_work_and_keeps_what_runs() -> None:
+def test_drain_refuses_new_and_queued_work_but_not_running_work() -> None:
     gate = _gate(ManualTime(), max_running=1)
     _fill(gate, 1)
     gate.offer(dispatch('queued'))
@@ -252,7 +252,7 @@
     assert isinstance(gate.offer(dispatch('later')), Run)
 
 
-def test_report_shows_rates_seen() -> None:
+def test_load_report_contains_the_measured_rates() -> None:
     time = ManualTime()
     gate = _gate(time)
     gate.offer(dispatch('a', prompt='50000'))
@@ -268,7 +268,7 @@
     assert report.between_tokens_ms == pytest.approx(30)
 
 
-def test_many_short_prompts_are_taken_while_there_are_slots() -> None:
+def test_many_short_prompts_are_admitted_while_slots_are_free() -> None:
     time = ManualTime()
     gate = _gate(time, max_running=300, queue_wait_ms=1000)
     for index in range(60):
--- a/tests/test_agent_roster.py
+++ b/tests/test_agent_roster.py
@@ -32,7 +32,7 @@
     assert roster.places('other') == ()
 
 
-def test_frames_of_earlier_processes_and_strangers_do_not_count() -> None:
+def test_frames_of_old_processes_and_unpublished_agents_are_ignored() -> None:
     roster = AgentRoster(Clock(lambda: 5, lambda: 0))
     roster.apply_version(_version('a', 'b'))
     assert roster.note_heard('a', 2)
--- a/tests/test_host_watch.py
+++ b/tests/test_host_watch.py
@@ -29,7 +29,7 @@
     )
 
 
-async def _time_to_gate(cut_off: int, loss: float) -> float:
+async def _time_to_drain(cut_off: int, loss: float) -> float:
     clock = Clock.from_loop(asyncio.get_running_loop())
     network = MemoryNetwork(loss=loss, seed=3)
     platform = MemoryPlatform(clock)
@@ -42,7 +42,7 @@
     network.transport(AGENT).start(receive)
     for entry in ENTRIES[:cut_off]:
         network.cut_both(entry, AGENT)
-    watches = [_entry_watch(network, platform, one) for one in ENTRIES]
+    watches = [_entry_watch(network, platform, address) for address in ENTRIES]
     tasks = [asyncio.create_task(watch.run()) for watch in watches]
     await clock.sleep_ms(4321)
     host = HostEntry(AGENT, 'agent', 'r0', 'd0', leaving=True)
@@ -55,23 +55,23 @@
     return clock.now_ms() - start_ms
 
 
-def test_leaving_host_is_told_within_two_seconds() -> None:
-    assert run_virtual(_time_to_gate(0, 0)) <= MAX_NOTICE_MS
+def test_leaving_host_is_notified_within_two_seconds() -> None:
+    assert run_virtual(_time_to_drain(0, 0)) <= MAX_NOTICE_MS
 
 
-def test_leaving_host_is_told_despite_loss() -> None:
-    assert run_virtual(_time_to_gate(0, 0.1)) <= MAX_NOTICE_MS
+def test_leaving_host_is_notified_despite_message_loss() -> None:
+    assert run_virtual(_time_to_drain(0, 0.1)) <= MAX_NOTICE_MS
 
 
-def test_leaving_host_cut_off_from_two_entries_is_told() -> None:
-    assert run_virtual(_time_to_gate(2, 0)) <= MAX_NOTICE_MS
+def test_leaving_host_cut_off_from_two_entries_is_notified() -> None:
+    assert run_virtual(_time_to_drain(2, 0)) <= MAX_NOTICE_MS
 
 
 async def _reads_per_minute() -> int:
     clock = Clock.from_loop(asyncio.get_running_loop())
     platform = MemoryPlatform(clock)
     network = MemoryNetwork()
-    watches = [_entry_watch(network, platform, one) for one in ENTRIES]
+    watches = [_entry_watch(network, platform, address) for address in ENTRIES]
     tasks = [asyncio.create_task(watch.run()) for watch in watches]
     await clock.sleep_ms(60_000 - 1)
     for task in tasks:
@@ -79,7 +79,7 @@
     return platform.reads
 
 
-def test_only_the_readers_read_each_second() -> None:
+def test_only_three_entries_poll_every_second() -> None:
     assert run_virtual(_reads_per_minute()) == 3 * 60 + 2 * 6
 
 
@@ -94,5 +94,5 @@
     return len(seen)
 
 
-def test_outage_is_not_an_empty_list() -> None:
+def test_outage_is_not_reported_as_an_empty_list() -> None:
     assert run_virtual(_outage()) == 0
--- a/tests/test_member_table.py
+++ b/tests/test_member_table.py
@@ -39,7 +39,7 @@
         ((5, LEAVING), (5, SUSPECT), False),
     ],
 )
-def test_merge(
+def test_merge_keeps_the_record_that_supersedes(
     known: tuple[int, MemberState],
     told: tuple[int, MemberState],
     replaces: bool,
@@ -69,7 +69,7 @@
     assert seen[0] == seen[1]
 
 
-def test_own_process_refutes_but_not_for_a_newer_one() -> None:
+def test_process_refutes_suspicions_of_itself_but_not_of_a_newer_one() -> None:
     table = _table()
     start = member_incarnation(1)
     refuted = table.merge(_member('own', start, DEAD), 0)
@@ -79,7 +79,7 @@
     assert table.merge(newer, 0) is None
 
 
-def test_returned_process_is_above_all_refutations() -> None:
+def test_restarted_process_supersedes_all_refutations() -> None:
     table = _table()
     table.merge(_member('a', member_incarnation(1) + 40), 0)
     assert table.merge(_member('a', member_incarnation(2)), 0) is not None
@@ -111,7 +111,7 @@
     assert table.expire(SUSPICION_MS + 30_000)
 
 
-def test_removed_member_is_forgotten_late_and_not_listed_again() -> None:
+def test_removed_member_stays_removed_until_its_tombstone_expires() -> None:
     table = _table()
     table.merge(_member('a', 5), 0)
     table.merge(_member('a', 5, DEAD), 0)
@@ -123,13 +123,13 @@
     assert table.add_listed(_member('a', 0), 0)
 
 
-def test_dead_stranger_is_not_added() -> None:
+def test_unknown_dead_member_is_not_added() -> None:
     table = _table()
     assert table.merge(_member('a', 5, DEAD), 0) is None
     assert table.others() == ()
 
 
-def test_leaving_survives_a_refutation() -> None:
+def test_leaving_process_refutes_its_death_and_stays_leaving() -> None:
     table = _table()
     table.leave()
     told = msgspec.structs.replace(table.own, state=DEAD)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,7 +35,7 @@
     cluster.close()
 
 
-def test_crashed_member_goes_and_its_next_process_returns() -> None:
+def test_crashed_member_is_removed_and_its_next_process_rejoins() -> None:
     run_virtual(_rejoin())
 
 
@@ -43,9 +43,9 @@
     cluster, addresses = _make(3)
     await cluster.clock.sleep_ms(SETTLE_MS)
     near, far = addresses[:1], addresses[1:]
-    for one in near:
-        for other in far:
-            cluster.network.cut_both(one, other)
+    for near_address in near:
+        for far_address in far:
+            cluster.network.cut_both(near_address, far_address)
     await cluster.clock.sleep_ms(3_600_000)
     for address in near:
         assert cluster.members_by_address[address].live_entries() == tuple(near)
@@ -57,7 +57,7 @@
     cluster.close()
 
 
-def test_partition_of_an_hour_heals() -> None:
+def test_views_converge_after_an_hour_of_partition() -> None:
     run_virtual(_partition())
 
 
@@ -69,7 +69,8 @@
     return cluster.suspicions()
 
 
-def test_one_cut_link_suspects_nobody() -> None:
+def test_one_cut_link_causes_no_suspicion() -> None:
+    """Members without a direct link must be probed through others."""
     assert run_virtual(_one_link_cut()) == 0
 
 
@@ -109,7 +110,8 @@
     return paused.counters.removals
 
 
-def test_process_that_was_paused_blames_nobody() -> None:
+def test_paused_process_removes_no_other_member() -> None:
+    """Its timers must not run out during the pause."""
     assert run_virtual(_paused_with_suspicion()) == 0
 
 
@@ -124,30 +126,30 @@
         member = cluster.members_by_address[address]
         assert addresses[0] not in member.responsive_entries()
         assert addresses[0] in member.live_entries()
-    assert [one.state for one in seen] == [MemberState.LEAVING]
+    assert [member.state for member in seen] == [MemberState.LEAVING]
     cluster.close()
 
 
-def test_leaving_member_is_told_to_all() -> None:
+def test_leave_is_propagated_to_all_members() -> None:
     run_virtual(_leave())
 
 
-async def _rate_in_a_storm() -> float:
+async def _rate_under_flood() -> float:
     cluster, addresses = _make(12)
     await cluster.clock.sleep_ms(SETTLE_MS)
-    began = dict(cluster.network.bytes_by_sender)
+    bytes_at_start = dict(cluster.network.bytes_by_sender)
     members = list(cluster.members_by_address.values())
     for _ in range(1000):
         for member in members:
             member.on_message(Envelope(addresses[0], 1, Probe(1)))
         await cluster.clock.sleep_ms(10)
     cluster.close()
-    return cluster.highest_rate(began, 10_000)
+    return cluster.highest_rate(bytes_at_start, 10_000)
 
 
-def test_byte_budget_holds_in_a_storm_of_probes() -> None:
+def test_byte_budget_is_kept_under_a_flood_of_probes() -> None:
     burst_rate = 8192 / 10
-    assert run_virtual(_rate_in_a_storm()) <= 4096 + burst_rate
+    assert run_virtual(_rate_under_flood()) <= 4096 + burst_rate
 
 
 async def _reachable_share() -> None:
@@ -166,7 +168,7 @@
     cluster.close()
 
 
-def test_share_of_listed_entries_that_answer() -> None:
+def test_reachable_fraction_counts_listed_entries_that_respond() -> None:
     run_virtual(_reachable_share())
 
 
@@ -179,12 +181,12 @@
     return cluster.members_by_address[addresses[0]].live_entries()
 
 
-def test_membership_lasts_through_an_hour_without_the_platform() -> None:
+def test_membership_survives_an_hour_without_the_platform() -> None:
     assert len(run_virtual(_platform_down())) == 2
 
 
 @pytest.mark.parametrize('version', [3, 9])
-def test_probe_tells_the_version(version: int) -> None:
+def test_probe_carries_the_version(version: int) -> None:
     async def run() -> set[int]:
         cluster, addresses = _make(2)
         seen: set[int] = set()
--- a/tests/test_order_gate.py
+++ b/tests/test_order_gate.py
@@ -19,7 +19,7 @@
 
 
 class _Engine(EngineControl):
-    """Ignores fences; `delay_ms` is the time of each order."""
+    """Engine that ignores fences; each order takes 100 ms."""
 
     def __init__(self, clock: Clock) -> None:
         self.done: list[tuple[int, int]] = []
@@ -53,6 +53,7 @@
 
 
 async def _first_order() -> None:
+    """The first order with an outdated fence is refused."""
     bench = _Bench()
     bench.set_fence(5)
     assert not await bench.accepts(4)
@@ -61,6 +62,7 @@
 
 
 async def _take_over() -> None:
+    """Orders of the previous holder are refused after a take-over."""
     bench = _Bench()
     bench.set_fence(5)
     assert await bench.accepts(5)
@@ -71,6 +73,7 @@
 
 
 async def _outage() -> None:
+    """Orders are refused while the fence can't be read."""
     bench = _Bench()
     bench.set_fence(5)
     bench.platform.faults.down = True
@@ -80,6 +83,7 @@
 
 
 async def _repeated() -> None:
+    """A repeated order is accepted again, but not executed twice."""
     bench = _Bench()
     bench.set_fence(5)
     assert await bench.accepts(5, 2)
@@ -89,6 +93,7 @@
 
 
 async def _failed() -> None:
+    """An order that failed at the engine can be repeated."""
     bench = _Bench()
     bench.set_fence(5)
     bench.engine.fails = True
@@ -98,13 +103,15 @@
 
 
 async def _other_region() -> None:
+    """An order of another region is refused and leaves the fence as it is."""
     bench = _Bench()
     bench.set_fence(5)
     assert not await bench.accepts(9, region='r1')
     assert await bench.accepts(5)
 
 
-async def _behind_a_slow_one() -> None:
+async def _behind_a_slow_order() -> None:
+    """An order is refused if the lease moves on while it waits."""
     bench = _Bench()
     bench.set_fence(5)
     slow = asyncio.create_task(bench.accepts(5, 1))
@@ -126,7 +133,7 @@
         _repeated,
         _failed,
         _other_region,
-        _behind_a_slow_one,
+        _behind_a_slow_order,
     ],
 )
 def test_gate(scenario: Any) -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -76,14 +76,14 @@
     ]
 
 
-def test_demand_per_loaded_upstream_decides_the_order() -> None:
+def test_orders_are_sorted_by_demand_per_loaded_upstream() -> None:
     version = _version({'a': (ONE,), 'b': (TWO,), 'c': (ONE,)})
     loaded = {'c': frozenset({ONE})}
     due = _plan(version, loaded, {ONE: 3, TWO: 2})
     assert [order.agent for order in due] == ['b', 'a']
 
 
-def test_busy_agents_get_none() -> None:
+def test_busy_agents_get_no_order() -> None:
     version = _version({'a': (ONE,)})
     assert _plan(version, {}, {}, frozenset({'a'})) == []
 
@@ -96,12 +96,12 @@
     return bench.executed()
 
 
-def test_agents_of_other_regions_get_none() -> None:
+def test_agents_of_other_regions_get_no_order() -> None:
     assert run_virtual(_other_region()) == []
 
 
 class _Engine(EngineControl):
-    """Ignores fences."""
+    """Engine that ignores fences and records those of its orders."""
 
     def __init__(self) -> None:
         self.fences: list[int] = []
@@ -168,7 +168,9 @@
             await self.clock.sleep_ms(2000)
 
     def executed(self) -> list[int]:
-        return [fence for one in self.engines.values() for fence in one.fences]
+        return [
+            fence for engine in self.engines.values() for fence in engine.fences
+        ]
 
 
 async def _paused_holder(holder_checks: bool) -> None:
@@ -190,7 +192,9 @@
 
 
 @pytest.mark.parametrize('holder_checks', [True, False])
-def test_paused_holder_that_wakes_has_no_effect(holder_checks: bool) -> None:
+def test_holder_that_continues_after_a_pause_has_no_effect(
+    holder_checks: bool,
+) -> None:
     run_virtual(_paused_holder(holder_checks))
 
 
@@ -205,7 +209,7 @@
     return counts
 
 
-def test_loads_share_the_rate_of_the_weight_store() -> None:
+def test_loads_are_limited_by_the_rate_of_the_weight_store() -> None:
     assert run_virtual(_weight_rate()) == [4, 7, 10]
 
 
@@ -247,5 +251,5 @@
     assert not bench.leases[0].valid()
 
 
-def test_newer_fence_ends_the_term() -> None:
+def test_reply_with_a_newer_fence_ends_the_term() -> None:
     run_virtual(_newer_fence())
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,7 +20,10 @@
 
 
 def _offer(guard, time, demand: dict[str, int], utilisation=0.8, seconds=60):
-    """Offer `demand` requests a second of 5 s each; count what is admitted."""
+    """Offer `demand` requests of 5 s per second and team.
+
+    Returns the number of requests admitted in the second half, by team.
+    """
     admitted = dict.fromkeys(demand, 0)
     ends: list[tuple[int, str]] = []
     for second in range(seconds):
@@ -37,7 +40,7 @@
     return admitted
 
 
-def test_everyone_is_refused_above_the_maximum_with_a_true_time() -> None:
+def test_all_teams_are_refused_above_the_maximum_utilisation() -> None:
     guard = _guard(ManualTime())
     verdict = guard.check('t', 1.2 * math.e)
     assert isinstance(verdict, Overloaded)
@@ -48,7 +51,7 @@
     assert refusal.decided_by == 'process'
 
 
-def test_retry_time_follows_the_measured_run_time() -> None:
+def test_retry_after_follows_the_measured_run_time() -> None:
     guard = _guard(ManualTime())
     before = guard.check('t', 2)
     for _ in range(100):
@@ -60,14 +63,14 @@
     assert after.retry_after_ms > 3 * before.retry_after_ms
 
 
-def test_equal_teams_are_never_held_back_below_the_maximum() -> None:
+def test_equal_teams_are_not_limited_below_the_maximum() -> None:
     demand = dict.fromkeys('abcd', 3)
     admitted = _offer(_guard(ManualTime()), ManualTime(), demand, 1.1)
     assert set(admitted.values()) == {90}
 
 
 @pytest.mark.parametrize('greedy', [20, 60])
-def test_greedy_team_is_held_to_its_share(greedy: int) -> None:
+def test_greedy_team_is_limited_to_its_share(greedy: int) -> None:
     time = ManualTime()
     demand = {'greedy': greedy, 'a': 2, 'b': 2, 'c': 2}
     admitted = _offer(_guard(time), time, demand)
@@ -99,7 +102,7 @@
     assert verdict.figures['measured'] >= verdict.figures['limit']
 
 
-def test_teams_are_forgotten_once_idle() -> None:
+def test_idle_teams_are_removed() -> None:
     time = ManualTime()
     guard = _guard(time)
     _offer(guard, time, {f't{index}': 1 for index in range(50)}, seconds=2)
@@ -113,7 +116,7 @@
     assert guard._teams.share('new', time.clock.now_ms()).part == 1
 
 
-def test_lone_team_that_ramps_up_is_held_only_by_the_maximum() -> None:
+def test_single_team_that_ramps_up_is_limited_by_the_maximum_only() -> None:
     time = ManualTime()
     guard = _guard(time)
     slots = 192
--- a/tests/test_prefix_hash.py
+++ b/tests/test_prefix_hash.py
@@ -11,11 +11,11 @@
 
 
 def test_equal_prefixes_share_leading_hashes_only() -> None:
-    one = block_hashes(f'{_BLOCK}{_BLOCK}a{_BLOCK}')
-    other = block_hashes(f'{_BLOCK}{_BLOCK}b{_BLOCK}')
-    assert one[:2] == other[:2]
-    assert one[2] != other[2]
-    assert len(set(one)) == 3
+    hashes = block_hashes(f'{_BLOCK}{_BLOCK}a{_BLOCK}')
+    other_hashes = block_hashes(f'{_BLOCK}{_BLOCK}b{_BLOCK}')
+    assert hashes[:2] == other_hashes[:2]
+    assert hashes[2] != other_hashes[2]
+    assert len(set(hashes)) == 3
 
 
 def test_hash_depends_on_the_pin_and_on_earlier_blocks() -> None:
@@ -29,14 +29,14 @@
     ('known', 'covered'),
     [((), 0), ((1,), 1), ((3,), 3), ((1, 3), 3), ((9,), 0)],
 )
-def test_gaps_in_events_do_not_hide_a_longer_prefix(known, covered) -> None:
+def test_missed_events_do_not_hide_a_longer_prefix(known, covered) -> None:
     view = PrefixView()
     view.record('a', known)
     assert view.covered_blocks('a', (1, 2, 3, 4)) == covered
     assert view.holders((1, 2, 3, 4)) == ({'a'} if covered else set())
 
 
-def test_least_recently_used_hashes_go_first() -> None:
+def test_least_recently_used_hashes_are_evicted_first() -> None:
     view = PrefixView(hashes_max=3)
     view.record('a', (1, 2, 3))
     view.record('a', (1,))
@@ -46,7 +46,7 @@
     assert view.holders((2,)) == set()
 
 
-def test_forgotten_agent_holds_nothing() -> None:
+def test_removed_agent_has_no_cached_prefix() -> None:
     view = PrefixView()
     view.record('a', (1, 2))
     view.record('b', (1,))
@@ -55,7 +55,7 @@
     assert view.holders((1, 2)) == {'b'}
 
 
-def test_view_holds_no_more_than_the_engine() -> None:
+def test_hashes_are_limited_to_what_the_engine_caches() -> None:
     view = PrefixView()
     view.bound('a', 3 * PREFIX_BLOCK_TOKENS + 1)
     view.record('a', (1, 2, 3, 4))
--- a/tests/test_region_lease.py
+++ b/tests/test_region_lease.py
@@ -69,7 +69,7 @@
     assert first.fence == 2
 
 
-def test_holder_that_was_late_takes_a_new_fence() -> None:
+def test_holder_that_renews_too_late_needs_a_new_fence() -> None:
     run_virtual(_slow_pause())
 
 
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize('lost', [1, 2])
-def test_lost_answer_is_recognised(lost: int) -> None:
+def test_write_whose_reply_was_lost_is_recognised(lost: int) -> None:
     run_virtual(_lost_answer(lost))
 
 
@@ -102,7 +102,7 @@
     assert sorted(lease.valid() for lease in bench.leases) == [False, True]
 
 
-def test_lease_comes_back_after_an_outage() -> None:
+def test_lease_is_held_again_after_an_outage() -> None:
     run_virtual(_outage())
 
 
@@ -125,5 +125,5 @@
 
 
 @pytest.mark.parametrize('seed', range(8))
-def test_never_two_holders(seed: int) -> None:
+def test_there_are_never_two_holders(seed: int) -> None:
     assert run_virtual(_random_faults(seed)) > 3
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -19,11 +19,11 @@
 
 
 def _granted(budget: RetryBudget, count: int, team: str = 't') -> int:
-    spent = [budget.spend(team, resume=True) for _ in range(count)]
-    return sum(isinstance(one, Granted) for one in spent)
+    results = [budget.spend(team, resume=True) for _ in range(count)]
+    return sum(isinstance(result, Granted) for result in results)
 
 
-def test_burst_then_denied_with_the_true_time_to_come_again() -> None:
+def test_retry_beyond_the_burst_is_denied_with_an_exact_retry_after() -> None:
     time = ManualTime()
     budget = _budget(time)
     assert _granted(budget, 5) == 2
@@ -37,13 +37,13 @@
     assert isinstance(budget.spend('t', resume=True), Granted)
 
 
-def test_one_team_does_not_use_up_another() -> None:
+def test_one_team_does_not_use_the_budget_of_another() -> None:
     budget = _budget(ManualTime())
     assert _granted(budget, 9, 'large') == 2
     assert _granted(budget, 9, 'small') == 2
 
 
-def test_process_budget_bounds_all_teams() -> None:
+def test_process_budget_limits_all_teams_together() -> None:
     budget = _budget(ManualTime(), process_burst=3)
     granted = sum(_granted(budget, 2, f't{index}') for index in range(5))
     assert granted == 3
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(('in_flight', 'granted'), [(0, 2), (40, 22)])
-def test_half_of_what_is_in_flight_can_be_resumed_at_once(
+def test_half_of_the_requests_in_flight_can_be_resumed_at_once(
     in_flight: int,
     granted: int,
 ) -> None:
@@ -85,7 +85,7 @@
     assert _granted(budget, 100) == granted
 
 
-def test_idle_teams_are_forgotten_and_busy_ones_kept(monkeypatch) -> None:
+def test_idle_teams_are_evicted_and_busy_ones_kept(monkeypatch) -> None:
     monkeypatch.setattr(retry_budget, 'TEAMS_MAX', 2)
     budget = _budget(ManualTime())
     budget.record_start('busy')
@@ -96,7 +96,7 @@
     assert _granted(budget, 9, 'a') == 2
 
 
-def test_retries_after_declines_leave_a_reserve_to_resumptions() -> None:
+def test_retries_after_declines_leave_a_reserve_for_resumes() -> None:
     budget = _budget(ManualTime())
     assert isinstance(budget.spend('t', resume=False), Granted)
     denied = budget.spend('t', resume=False)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -26,7 +26,7 @@
     assert set(_chosen(placement)) <= {'a0', 'a2', 'a4'}
 
 
-def test_paid_bytes_yield_to_a_long_queue() -> None:
+def test_long_queue_outweighs_the_cost_of_cross_region_traffic() -> None:
     placement = _placement(ManualTime())
     for agent in ('a0', 'a2', 'a4'):
         placement.record_load(agent, LoadReport(running=8, queued=20))
@@ -35,7 +35,7 @@
     assert set(_chosen(placement)) <= {'a1', 'a3', 'a5'}
 
 
-def test_cross_region_is_refused_where_not_allowed() -> None:
+def test_other_region_is_not_used_if_not_allowed() -> None:
     placement = _placement(ManualTime(), published(upstreams=2), region='r1')
     placement.record_loss('a1')
     request = placement_request(cross_region=False)
@@ -48,7 +48,8 @@
     assert refusal.config_version == 3
 
 
-def test_refused_resumption_does_not_claim_that_nothing_ran() -> None:
+def test_refused_resume_reports_that_work_may_have_run() -> None:
+    """The caller must not repeat a request whose first attempt was lost."""
     placement = _placement(ManualTime())
     with pytest.raises(RefusedError) as caught:
         placement.choose(placement_request(pin=Pin('x', '2'), resume=True))
@@ -56,7 +57,7 @@
 
 
 @pytest.mark.parametrize('way', ['report', 'plan', 'list', 'excluded', 'lost'])
-def test_no_new_work_for(way: str) -> None:
+def test_unavailable_agent_gets_no_new_work(way: str) -> None:
     time = ManualTime()
     stops = (Stop('stop', address='a0', start_ms=900_000, deadline_ms=2**40),)
     version = published(stops=stops if way == 'plan' else ())
@@ -74,7 +75,7 @@
     assert 'a0' not in _chosen(placement, **fields)
 
 
-def test_planned_stop_counts_from_its_start() -> None:
+def test_planned_stop_excludes_the_agent_from_its_start_time() -> None:
     time = ManualTime()
     stop = Stop('stop', address='a0', start_ms=1_000_500, deadline_ms=2**40)
     placement = _placement(time, published(upstreams=1, stops=(stop,)))
@@ -97,7 +98,9 @@
     ('lost', 'resume', 'avoided'),
     [(('a0',), True, True), (('a0',), False, False), (('a0', 'a4'), 0, True)],
 )
-def test_failure_domain_of_a_loss(lost, resume: bool, avoided: bool) -> None:
+def test_failure_domain_is_avoided_after_losses(
+    lost, resume: bool, avoided: bool
+) -> None:
     time = ManualTime()
     placement = _placement(time, published(upstreams=16))
     for agent in lost:
@@ -108,14 +111,14 @@
     assert _chosen(placement, resume=bool(resume)).keys() & {'a8', 'a12'}
 
 
-def test_whole_region_lost_leaves_the_other() -> None:
+def test_loss_of_a_whole_region_moves_work_to_the_other() -> None:
     placement = _placement(ManualTime())
     for agent in ('a0', 'a2', 'a4'):
         placement.record_loss(agent)
     assert set(_chosen(placement, resume=True)) <= {'a1', 'a3', 'a5'}
 
 
-def test_longest_cached_prefix_wins_among_idle_agents() -> None:
+def test_idle_agent_with_the_longest_cached_prefix_is_chosen() -> None:
     placement = _placement(ManualTime(), published(upstreams=40))
     placement.record_load('a6', LoadReport(cached_prefixes=(12,)))
     placement.record_load('a8', LoadReport(cached_prefixes=(11,)))
@@ -123,7 +126,7 @@
     assert chosen == {'a6': 60}
 
 
-def test_prefix_affinity_yields_to_load() -> None:
+def test_load_outweighs_prefix_affinity() -> None:
     placement = _placement(ManualTime(), published(upstreams=40))
     busy = LoadReport(running=8, queued=9, cached_prefixes=(11, 12, 13))
     for index in range(0, 40, 2):
@@ -132,7 +135,8 @@
     assert 'a6' not in _chosen(placement, prefix_hashes=(11, 12, 13))
 
 
-def test_own_dispatches_spread_resumptions_before_any_report() -> None:
+def test_own_dispatches_spread_resumes_before_any_load_report() -> None:
+    """Attempts resumed at once must not all go to the idlest upstream."""
     placement = _placement(ManualTime(), published(upstreams=40, regions=1))
     chosen: Counter[str] = Counter()
     for index in range(40):
@@ -144,7 +148,7 @@
     assert len(chosen) >= 25
 
 
-def test_end_uncounts_a_dispatch() -> None:
+def test_end_of_an_attempt_restores_the_score() -> None:
     placement = _placement(ManualTime(), published(upstreams=1))
     request = placement_request()
     (target,) = placement.eligible(request)
@@ -155,7 +159,7 @@
     assert placement.score_ms(request, target) == before_ms
 
 
-def test_stale_report_is_drawn_to_the_mean_of_all() -> None:
+def test_estimate_of_a_stale_report_approaches_the_mean() -> None:
     time = ManualTime()
     placement = _placement(time, published(upstreams=2, regions=1))
     request = placement_request()
@@ -169,7 +173,7 @@
     assert stale_ms == pytest.approx(placement.score_ms(request, second), 0.01)
 
 
-def test_slow_engine_is_avoided_by_its_own_rate() -> None:
+def test_engine_that_reports_a_low_prefill_rate_is_avoided() -> None:
     placement = _placement(ManualTime(), published(upstreams=2, regions=1))
     placement.record_load('a0', LoadReport(prefill_per_s=2000))
     placement.record_load('a1', LoadReport(prefill_per_s=8000))
@@ -184,7 +188,7 @@
     assert _chosen(placement) == {'a0': 60}
 
 
-def test_load_is_kept_over_a_publication() -> None:
+def test_load_is_kept_when_a_version_is_published() -> None:
     placement = _placement(ManualTime(), published(upstreams=2, regions=1))
     placement.record_load('a0', LoadReport(draining=True))
     placement.publish(published(upstreams=3, regions=1))
--- a/tests/test_share_home.py
+++ b/tests/test_share_home.py
@@ -22,14 +22,14 @@
     return home.grant(entry, demand, POOL_SHARE, now_ms).share
 
 
-def test_new_process_only_renews_at_first() -> None:
+def test_new_home_only_renews_at_first() -> None:
     home = ShareHome('e', 0)
     assert _ask(home, 'a', 0.5, 0.2, 0) == 0.2
     assert _ask(home, 'b', 0.5, 0, 0) == 0
     assert _ask(home, 'b', 0.5, 0, HOLD_MS) > 0
 
 
-def test_doubted_home_only_renews() -> None:
+def test_suspected_home_only_renews() -> None:
     home = ShareHome('e', 0)
     assert _ask(home, 'a', 0.1, 0, START_MS) > 0
     home.note_doubted(START_MS + 1)
@@ -37,7 +37,7 @@
     assert _ask(home, 'b', 0.1, 0, START_MS + HOLD_MS + 1) > 0
 
 
-def test_reduced_share_counts_until_its_holder_has_given_it_up() -> None:
+def test_reduced_share_counts_until_its_holder_releases_it() -> None:
     home = ShareHome('e', 0)
     _ask(home, 'a', 1, 0, START_MS)
     assert _ask(home, 'a', 0.2, 0.9, START_MS) == pytest.approx(0.25)
@@ -46,7 +46,7 @@
     assert _ask(home, 'b', 0.5, 0, START_MS) > 0.5
 
 
-def test_lease_that_is_not_renewed_counts_for_the_hold_time() -> None:
+def test_lease_that_is_not_renewed_stays_counted_for_the_hold_time() -> None:
     home = ShareHome('e', 0)
     _ask(home, 'a', 1, 0, START_MS)
     assert _ask(home, 'b', 1, 0, START_MS + HOLD_MS - 1) == 0
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -36,7 +36,7 @@
 
 @dataclass
 class _Bench:
-    """Entries under demand, with every admission's time."""
+    """Entries under load, with the time of each admission."""
 
     count: int
     loss: float = 0
@@ -59,11 +59,11 @@
         for entry in self.entries:
             self.views[entry] = _View(self.entries)
             transport = self.network.transport(entry)
-            one = TeamLimits(transport, self.clock, self.views[entry])
-            one.apply_version(version)
-            transport.start(one.on_message)
-            self.limits[entry] = one
-            self.tasks[entry] = asyncio.create_task(one.run())
+            limits = TeamLimits(transport, self.clock, self.views[entry])
+            limits.apply_version(version)
+            transport.start(limits.on_message)
+            self.limits[entry] = limits
+            self.tasks[entry] = asyncio.create_task(limits.run())
 
     @property
     def home(self) -> str:
@@ -72,7 +72,7 @@
     async def load(
         self, duration_ms: float, entries: tuple[str, ...] | None = None
     ) -> None:
-        """Ask at each of `entries` for twice the limit."""
+        """Offer twice the limit to each of `entries`."""
         until_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < until_ms:
             for entry in entries or self.entries:
@@ -83,7 +83,7 @@
             await self.clock.sleep_ms(STEP_MS)
 
     def highest(self, window_ms: float, since_ms: float = 0) -> float:
-        """Return the most admissions per s of any window."""
+        """Return the highest rate of admissions per second in any window."""
         times = [at for at in self.admitted_ms if at >= since_ms]
         first = 0
         most = 0
@@ -117,23 +117,23 @@
 
 
 @pytest.mark.parametrize('loss', [0, 0.05])
-def test_limit_holds_and_is_used(loss: float) -> None:
+def test_limit_is_kept_and_can_be_fully_used(loss: float) -> None:
     _run(_steady, count=4, loss=loss)
 
 
 async def _cut_off(bench: _Bench) -> None:
-    away = next(one for one in bench.entries if one != bench.home)
-    await bench.load(SETTLED_MS, (away,))
+    isolated = next(entry for entry in bench.entries if entry != bench.home)
+    await bench.load(SETTLED_MS, (isolated,))
     for other in bench.entries:
-        bench.network.cut_both(away, other)
-    await bench.load(LEASE_MS + 2000, (away,))
+        bench.network.cut_both(isolated, other)
+    await bench.load(LEASE_MS + 2000, (isolated,))
     before = len(bench.admitted_ms)
-    await bench.load(20_000, (away,))
+    await bench.load(20_000, (isolated,))
     rate = (len(bench.admitted_ms) - before) / 20
     assert rate == pytest.approx(LIMIT / 4 / 4, rel=0.1)
 
 
-def test_entry_that_is_cut_off_keeps_its_floor_alone() -> None:
+def test_isolated_entry_keeps_only_its_floor() -> None:
     _run(_cut_off, count=4)
 
 
@@ -142,23 +142,23 @@
     lost = bench.home
     bench.tasks.pop(lost).cancel()
     bench.network.ends_by_address.pop(lost)
-    rest = tuple(one for one in bench.entries if one != lost)
-    await bench.load(3000, rest)
-    for entry in rest:
-        bench.views[entry].entries = rest
-    await bench.load(60_000, rest)
+    remaining = tuple(address for address in bench.entries if address != lost)
+    await bench.load(3000, remaining)
+    for entry in remaining:
+        bench.views[entry].entries = remaining
+    await bench.load(60_000, remaining)
     assert bench.highest(10_000, SETTLED_MS) <= LIMIT * 1.1
     late = [at for at in bench.admitted_ms if at >= SETTLED_MS + 40_000]
     assert len(late) >= 0.85 * LIMIT * 23
 
 
-def test_lost_home_is_replaced_without_passing_the_limit() -> None:
+def test_lost_home_is_replaced_without_exceeding_the_limit() -> None:
     _run(_home_lost, count=4)
 
 
 async def _changing_view(bench: _Bench) -> None:
     await bench.load(SETTLED_MS)
-    near = tuple(one for one in bench.entries if one != bench.home)
+    near = tuple(address for address in bench.entries if address != bench.home)
     for entry in near[:2]:
         bench.views[entry].entries = near
     await bench.load(8000)
@@ -168,16 +168,16 @@
     assert bench.highest(10_000, SETTLED_MS) <= LIMIT * 1.1
 
 
-def test_views_that_differ_for_a_while_do_not_lease_twice() -> None:
+def test_homes_of_differing_views_do_not_lease_the_same_share() -> None:
     _run(_changing_view, count=5)
 
 
 async def _partition(bench: _Bench) -> None:
     await bench.load(SETTLED_MS)
     near, far = bench.entries[:2], bench.entries[2:]
-    for one in near:
-        for other in far:
-            bench.network.cut_both(one, other)
+    for near_entry in near:
+        for far_entry in far:
+            bench.network.cut_both(near_entry, far_entry)
     for side in (near, far):
         for entry in side:
             bench.views[entry].entries = side
@@ -188,64 +188,64 @@
     assert len(late) >= 0.8 * LIMIT * 20
 
 
-def test_both_sides_of_a_partition_together_stay_in_the_limit() -> None:
+def test_both_sides_of_a_partition_together_keep_the_limit() -> None:
     _run(_partition, count=5)
 
 
 async def _paused_home(bench: _Bench) -> None:
     await bench.load(SETTLED_MS)
-    lost = bench.home
-    rest = tuple(one for one in bench.entries if one != lost)
-    bench.tasks.pop(lost).cancel()
-    for entry in rest:
-        bench.views[entry].entries = rest
-        bench.network.cut_both(entry, lost)
-    await bench.load(30_000, rest)
+    paused = bench.home
+    others = tuple(address for address in bench.entries if address != paused)
+    bench.tasks.pop(paused).cancel()
+    for entry in others:
+        bench.views[entry].entries = others
+        bench.network.cut_both(entry, paused)
+    await bench.load(30_000, others)
     bench.network.heal()
-    for entry in rest:
+    for entry in others:
         bench.views[entry].entries = bench.entries
-    bench.tasks[lost] = asyncio.create_task(bench.limits[lost].run())
+    bench.tasks[paused] = asyncio.create_task(bench.limits[paused].run())
     await bench.load(40_000)
     assert bench.highest(10_000, SETTLED_MS) <= LIMIT * 1.1
 
 
-def test_home_that_wakes_does_not_lease_what_others_did() -> None:
+def test_home_after_a_pause_does_not_lease_what_others_leased() -> None:
     _run(_paused_home, count=4)
 
 
 async def _late_grant(bench: _Bench) -> None:
-    away = next(one for one in bench.entries if one != bench.home)
-    await bench.load(SETTLED_MS, (away,))
-    usage = bench.limits[away]._usage_by_team[TEAM]
+    other = next(entry for entry in bench.entries if entry != bench.home)
+    await bench.load(SETTLED_MS, (other,))
+    usage = bench.limits[other]._usage_by_team[TEAM]
     late = ShareGrants(1, LEASE_MS, (TeamShare(TEAM, 0.1),))
-    bench.limits[away].on_message(Envelope(bench.home, 1, late))
+    bench.limits[other].on_message(Envelope(bench.home, 1, late))
     assert usage.leased > 0.5
 
 
-def test_late_grant_is_ignored() -> None:
+def test_grant_for_an_outdated_request_is_ignored() -> None:
     _run(_late_grant, count=3)
 
 
 async def _retry_after(bench: _Bench) -> None:
-    only = bench.limits['e0']
+    limits = bench.limits['e0']
     await bench.clock.sleep_ms(HOLD_MS)
-    while (refusal := only.try_admit(TEAM)) is None:
-        only.release(TEAM)
+    while (refusal := limits.try_admit(TEAM)) is None:
+        limits.release(TEAM)
     assert refusal.reason is ReasonCode.OVER_LIMIT
     assert refusal.ran is Ran.NOT_RUN
     assert refusal.decided_by == 'teams/foundry'
     assert refusal.config_version == 3
-    later = [only.try_admit(TEAM) for _ in range(19)]
-    waits_ms = [one.retry_after_ms for one in later if one is not None]
+    refusals = [limits.try_admit(TEAM) for _ in range(19)]
+    waits_ms = [one.retry_after_ms for one in refusals if one is not None]
     assert len(waits_ms) == 19
     assert waits_ms == sorted(waits_ms)
     assert waits_ms[-1] == pytest.approx(20 * 1000 / LIMIT, abs=10)
     await bench.clock.sleep_ms(waits_ms[-1])
     for _ in range(20):
-        assert only.try_admit(TEAM) is None
+        assert limits.try_admit(TEAM) is None
 
 
-def test_refusal_tells_truly_when_to_come_back() -> None:
+def test_retry_after_of_the_rate_limit_is_exact() -> None:
     _run(_retry_after, count=1)
 
 
@@ -256,13 +256,13 @@
             running += bench.limits[entry].try_admit(TEAM) is None
         await bench.clock.sleep_ms(1000)
     assert 18 <= running <= 20 + bench.count
-    one = bench.limits['e0']
-    refusal = one.try_admit(TEAM)
+    limits = bench.limits['e0']
+    refusal = limits.try_admit(TEAM)
     assert refusal is not None
     assert 'concurrent_generations' in refusal.figures
     await bench.clock.sleep_ms(refusal.retry_after_ms)
-    one.release(TEAM)
-    assert one.try_admit(TEAM) is None
+    limits.release(TEAM)
+    assert limits.try_admit(TEAM) is None
 
 
 def test_running_requests_are_limited_across_entries() -> None:
@@ -270,21 +270,21 @@
 
 
 async def _running_retry_after(bench: _Bench) -> None:
-    only = bench.limits['e0']
-    while only.try_admit(TEAM) is None:
+    limits = bench.limits['e0']
+    while limits.try_admit(TEAM) is None:
         await bench.clock.sleep_ms(100)
     for _ in range(50):
         await bench.clock.sleep_ms(400)
-        only.release(TEAM)
-        assert only.try_admit(TEAM) is None
-    first, second = only.try_admit(TEAM), only.try_admit(TEAM)
+        limits.release(TEAM)
+        assert limits.try_admit(TEAM) is None
+    first, second = limits.try_admit(TEAM), limits.try_admit(TEAM)
     assert first is not None
     assert second is not None
     assert first.retry_after_ms == pytest.approx(400, rel=0.05)
     assert second.retry_after_ms == pytest.approx(800, rel=0.05)
 
 
-def test_running_limit_tells_when_the_next_request_ends() -> None:
+def test_retry_after_of_the_running_limit_follows_recent_ends() -> None:
     _run(_running_retry_after, count=1, concurrent=5)
 
 
@@ -293,7 +293,7 @@
     assert len(bench.admitted_ms) == pytest.approx(10 * LIMIT, rel=0.15)
 
 
-def test_only_entry_needs_no_lease_from_its_start() -> None:
+def test_single_entry_can_use_the_limit_without_a_lease() -> None:
     _run(_alone, count=1)
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -18,7 +18,7 @@
     ]
 
 
-def test_small_region_is_shared_by_all_entries() -> None:
+def test_all_entries_of_a_small_region_use_all_upstreams() -> None:
     entries = _places(1, 1, 2)
     upstreams = _places(2, 1, 7)
     agents = tuple(sorted(place.address for place in upstreams))
@@ -26,7 +26,7 @@
         assert select_upstreams(entry, entries, upstreams, SIZES) == agents
 
 
-def test_own_region_first() -> None:
+def test_upstreams_of_the_own_region_are_preferred() -> None:
     entries = _places(1, 3, 8)
     upstreams = _places(2, 3, 40)
     for entry in entries:
@@ -35,10 +35,12 @@
         assert all(agent.startswith(prefix) for agent in chosen)
 
 
-def test_every_upstream_has_its_entries() -> None:
+def test_every_upstream_is_selected_by_enough_entries() -> None:
     entries = _places(1, 2, 10)
     upstreams = _places(2, 2, 60)
-    count_by_agent = dict.fromkeys((one.address for one in upstreams), 0)
+    count_by_agent = dict.fromkeys(
+        (upstream.address for upstream in upstreams), 0
+    )
     for entry in entries:
         for agent in select_upstreams(entry, entries, upstreams, SIZES):
             count_by_agent[agent] += 1
@@ -46,36 +48,36 @@
 
 
 @pytest.mark.parametrize('domains', [1, 2, 3])
-def test_two_failure_domains(domains: int) -> None:
+def test_subset_spans_two_failure_domains(domains: int) -> None:
     entries = _places(1, 1, 6)
     local = [
         PlaceSettings(f'10.2.0.{number}:1', 'r0', f'd{number % domains}')
         for number in range(50)
     ]
-    away = [PlaceSettings('10.3.0.1:1', 'r9', 'd9')]
+    remote = [PlaceSettings('10.3.0.1:1', 'r9', 'd9')]
     for entry in entries:
-        chosen = set(select_upstreams(entry, entries, local + away, SIZES))
+        chosen = set(select_upstreams(entry, entries, local + remote, SIZES))
         seen = {
             place.failure_domain
-            for place in local + away
+            for place in local + remote
             if place.address in chosen
         }
         assert len(seen) >= 2
-        assert (away[0].address in chosen) is (domains == 1)
+        assert (remote[0].address in chosen) is (domains == 1)
 
 
-def test_order_of_arguments_and_missing_own_do_not_matter() -> None:
+def test_subset_is_independent_of_argument_order_and_listed_own() -> None:
     entries = _places(1, 1, 9)
     upstreams = _places(2, 1, 50)
     own = entries[3]
-    others = [one for one in entries if one is not own]
+    others = [entry for entry in entries if entry is not own]
     expected = select_upstreams(own, entries, upstreams, SIZES)
     assert expected == select_upstreams(
         own, others[::-1], upstreams[::-1], SIZES
     )
 
 
-def test_region_without_the_model_uses_others() -> None:
+def test_region_without_the_model_uses_other_regions() -> None:
     own = PlaceSettings('10.1.9.1:1', 'r9', 'd9')
     chosen = select_upstreams(own, [own], _places(2, 2, 20), SIZES)
     assert len(chosen) == SIZES.upstreams_per_entry // 2
