--- a/bergamotthread/process/orders/order_gate.py
+++ b/bergamotthread/process/orders/order_gate.py
@@ -58,7 +58,7 @@
         self._lock = asyncio.Lock()
 
     async def carry_out(self, order: Order) -> OrderReply:
-        """Carry out an order or refuse it, one at a time."""
+        """Execute or refuse an order; orders are handled one at a time."""
         async with self._lock:
             stamp = (order.fence, order.number)
             if stamp == self._last_stamp:
--- a/bergamotthread/process/shares/share_home.py
+++ b/bergamotthread/process/shares/share_home.py
@@ -119,7 +119,7 @@
         free = max(0, pool - sum(lease.share for lease in others))
         wanted = max(0, demand.wanted) * HEADROOM
         fair_level = _fair_level(
-            pool, [wanted, *(one.wanted for one in others)]
+            pool, [wanted, *(lease.wanted for lease in others)]
         )
         share = min(wanted, fair_level, free)
         if now_ms < leases.renewal_only_until_ms:
