--- a/bergamotthread/process/generations/__init__.py
+++ b/bergamotthread/process/generations/__init__.py
@@ -1,5 +1,5 @@
-"""Generations from admission to their end.
+"""Life cycle of generations, from admission to their end.
 
-Decides on attempts, losses and quarantine from the output and the deaths that
-are seen.
+Starts attempts, detects losses and quarantines requests, based on the output
+that arrives and the upstreams that die.
 """
--- a/bergamotthread/process/generations/attempt_runner.py
+++ b/bergamotthread/process/generations/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs one attempt on the engine and fills its output buffer."""
+"""Runs one attempt on the engine and buffers its output."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 def generate_request(dispatch: Dispatch) -> GenerateRequest:
-    """Return the engine's request for a dispatch.
+    """Return the engine request for a dispatch.
 
-    A warm-only dispatch asks for one token, so that the engine caches the
-    prefix.
+    A warm-only dispatch requests a single token, which makes the engine cache
+    the prefix.
     """
     max_tokens = dispatch.max_tokens
     if dispatch.warm_only:
@@ -42,15 +42,17 @@
 
 
 class AttemptRunner:
-    """Reads the engine's stream as fast as the subscriber's window allows.
+    """Reads the engine's output stream, paced by the subscriber's window.
 
     Parameters
     ----------
     window_tokens
-        Unacknowledged tokens from which on the stream is not read, so that
-        the engine is slowed by the connection and memory stays bounded.
+        Number of unacknowledged tokens above which reading pauses. The
+        backpressure on the connection then slows the engine, and memory stays
+        bounded.
     on_failure
-        Called after an attempt has failed, so that it is reported at once.
+        Called after an attempt has failed, so that the failure is reported
+        without delay.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         self._on_failure = on_failure
 
     async def run(self, buffer: OutputBuffer) -> None:
-        """Run until the attempt has ended; cancelling the task cancels it."""
+        """Run the attempt until it ends; cancelling the task cancels it."""
         try:
             async with self._clock.timeout_ms(buffer.dispatch.remaining_ms):
                 await self._read(buffer)
--- a/bergamotthread/process/generations/attempts.py
+++ b/bergamotthread/process/generations/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that an agent runs or holds the output of."""
+"""Attempts that an agent runs or whose output it still holds."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     Parameters
     ----------
     retention_ms
-        How long output is held for a subscriber that is silent.
+        Time for which output is kept for a subscriber that sends nothing.
     """
 
     def __init__(
@@ -40,12 +40,16 @@
 
     @property
     def running_count(self) -> int:
-        """Return how many attempts run at the engine."""
+        """Number of attempts that run on the engine."""
         return len(self._tasks_by_key)
 
     @property
     def undelivered_count(self) -> int:
-        """Return how many attempts run or have only just sent their end."""
+        """Number of attempts that run or ended in the last second.
+
+        An attempt that just ended is counted for `DELIVERY_GRACE_MS`, since
+        its end may not have reached the subscriber yet.
+        """
         since_ms = self._clock.now_ms() - DELIVERY_GRACE_MS
         return sum(
             buffer.end is None or buffer.ended_ms > since_ms
@@ -53,7 +57,7 @@
         )
 
     def start(self, dispatch: Dispatch, subscriber: str) -> OutputBuffer:
-        """Send an attempt to the engine."""
+        """Start an attempt on the engine and return its output buffer."""
         key = AttemptKey.from_dispatch(dispatch)
         now_ms = self._clock.now_ms()
         buffer = OutputBuffer.from_dispatch(dispatch, subscriber, now_ms)
@@ -64,12 +68,12 @@
         return buffer
 
     def drop(self, key: AttemptKey) -> None:
-        """Stop an attempt and forget its output."""
+        """Stop an attempt and discard its output."""
         self._stop(key)
         self.buffers_by_key.pop(key, None)
 
     def hand_over(self) -> None:
-        """End all running attempts so that others continue them."""
+        """End all running attempts so that other agents can resume them."""
         for key in tuple(self._tasks_by_key):
             buffer = self.buffers_by_key[key]
             self._stop(key)
@@ -78,19 +82,19 @@
             self._flusher.mark(buffer)
 
     def stop_all(self) -> None:
-        """Stop all attempts, as the process ends."""
+        """Stop all attempts without an end mark, for process shutdown."""
         for key in tuple(self._tasks_by_key):
             self._stop(key)
 
     def evict(self) -> None:
-        """Drop output that was delivered or whose subscriber is gone."""
+        """Discard output that was delivered or whose subscriber is gone."""
         now_ms = self._clock.now_ms()
         for key, buffer in tuple(self.buffers_by_key.items()):
             if self._is_evictable(buffer, now_ms):
                 self.drop(key)
 
     def unfinished_subscribers(self) -> set[str]:
-        """Return the entries that wait for output."""
+        """Return the entries with an attempt that has not ended."""
         return {
             buffer.subscriber
             for buffer in self.buffers_by_key.values()
--- a/bergamotthread/process/generations/completions.py
+++ b/bergamotthread/process/generations/completions.py
@@ -1,4 +1,4 @@
-"""Admits completions: route, idempotency key, cursor."""
+"""Admits completion requests: route, idempotency key and cursor."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """Who asks, and how the request is to be recognised when repeated."""
+    """Team of a caller and the headers that identify a repeated request."""
 
     team: str
     idempotency_key: str = ''
@@ -47,14 +47,24 @@
 
 @dataclass(frozen=True)
 class _Known:
-    """Generation that a team's idempotency key stands for."""
+    """Generation started under an idempotency key, with its request digest."""
 
     live: LiveGeneration
     digest: int
 
 
 class Completions:
-    """Starts, joins and resumes generations for callers."""
+    """Starts, joins and resumes generations for callers.
+
+    A repeated idempotency key joins the generation that it started; a
+    ``Last-Event-ID`` reconnects to a generation at the offset of its cursor.
+
+    Parameters
+    ----------
+    stamp
+        Records a refusal that ends a stream and returns it with the request
+        id under which it is explained.
+    """
 
     def __init__(
         self,
@@ -75,12 +85,12 @@
         caller: Caller,
         published: PublishedVersion,
     ) -> tuple[LiveGeneration, CompletionStream]:
-        """Return the generation of a request and the caller's stream of it.
+        """Return the generation for a request and a stream of its output.
 
         Raises
         ------
         RefusedError
-            If the request is not admitted; nothing has run then.
+            If the request is not admitted; in this case nothing has run.
         """
         digest = request_digest(request, caller.team)
         offset = 0
@@ -102,10 +112,10 @@
         return live, stream
 
     def forget_released(self) -> None:
-        """Drop the keys of generations that are no longer held."""
-        for key, known in tuple(self._known_by_key.items()):
-            identity = known.live.generation.spec.generation
-            if identity not in self._generations.by_id:
+        """Remove the keys of generations that the entry has released."""
+        for key, entry in tuple(self._known_by_key.items()):
+            generation_id = entry.live.generation.spec.generation
+            if generation_id not in self._generations.by_id:
                 self._known_by_key.pop(key)
 
     def _check_cursor(self, caller: Caller, digest: int) -> Cursor:
@@ -114,21 +124,27 @@
         except DecodeError as error:
             raise _refused(ReasonCode.BAD_CURSOR, error.message) from error
         if cursor.team != caller.team:
-            raise _refused(ReasonCode.BAD_CURSOR, 'cursor of another team')
+            raise _refused(
+                ReasonCode.BAD_CURSOR,
+                'the cursor was issued to another team',
+            )
         if cursor.request_digest != digest:
-            raise _refused(ReasonCode.BAD_CURSOR, 'cursor of another request')
+            raise _refused(
+                ReasonCode.BAD_CURSOR,
+                'the cursor was issued for another request',
+            )
         return cursor
 
     def _join(self, caller: Caller, digest: int) -> LiveGeneration | None:
-        known = self._known_by_key.get((caller.team, caller.idempotency_key))
-        if known is None or not caller.idempotency_key:
+        entry = self._known_by_key.get((caller.team, caller.idempotency_key))
+        if entry is None or not caller.idempotency_key:
             return None
-        if known.digest != digest:
+        if entry.digest != digest:
             raise _refused(
                 ReasonCode.KEY_REUSED,
-                'the idempotency key was used with another request',
+                'the idempotency key was already used with another request',
             )
-        return known.live if _is_joinable(known.live) else None
+        return entry.live if _is_joinable(entry.live) else None
 
     def _remember(
         self,
@@ -146,8 +162,8 @@
         caller: Caller,
         published: PublishedVersion,
     ) -> LiveGeneration:
-        identity = f'gen-{uuid.uuid4().hex}'
-        live = self._live(request, caller, published, identity)
+        generation_id = f'gen-{uuid.uuid4().hex}'
+        live = self._live(request, caller, published, generation_id)
         self._generations.start(live)
         return live
 
@@ -158,15 +174,15 @@
         published: PublishedVersion,
         cursor: Cursor,
     ) -> LiveGeneration:
-        held = self._generations.by_id.get(cursor.generation)
-        if held is not None and not held.generation.is_cancelled:
-            return held
+        existing = self._generations.by_id.get(cursor.generation)
+        if existing is not None and not existing.generation.is_cancelled:
+            return existing
         accepted = request.accepted_tokens
         if accepted and not _covers(cursor, accepted):
             raise _refused(
                 ReasonCode.BAD_CURSOR,
-                f'{len(accepted)} accepted tokens differ from the '
-                f'{cursor.offset} that the cursor stands for',
+                f'the {len(accepted)} accepted_tokens do not match the '
+                f'{cursor.offset} tokens of output that the cursor covers',
             )
         live = self._live(
             request,
@@ -220,7 +236,7 @@
 
 
 def _is_joinable(live: LiveGeneration) -> bool:
-    """Return whether a repeated request may read a generation's output."""
+    """Return whether a repeated request may join a generation."""
     generation = live.generation
     return generation.refusal is None and not generation.is_cancelled
 
@@ -230,14 +246,18 @@
     model: str,
     team: str,
 ) -> Route:
-    """Return the route that a request's model name selects for a team.
+    """Return the route for a model name and a team.
 
-    The name is that of a route, else that of a model.
+    Parameters
+    ----------
+    model
+        Name of a route, or of the model that a route serves.
 
     Raises
     ------
     RefusedError
-        If no route of a model service has the name or is open to the team.
+        If no route to a model service matches the name, or none that does is
+        open to the team.
     """
     routes = [
         route
@@ -248,14 +268,14 @@
         valid = ', '.join(sorted(published.routes_by_name))
         raise _refused(
             ReasonCode.NOT_FOUND,
-            f'no route or model {model!r}, valid ones: {valid}',
+            f'no route or model is named {model!r}; valid routes: {valid}',
         )
     for route in routes:
         if not route.teams or team in route.teams:
             return route
     raise _refused(
         ReasonCode.FORBIDDEN,
-        f'{model!r} is not open to team {team!r}',
+        f'no route to {model!r} is open to team {team!r}',
     )
 
 
--- a/bergamotthread/process/generations/death_log.py
+++ b/bergamotthread/process/generations/death_log.py
@@ -1,4 +1,4 @@
-"""Recent deaths of upstreams and which of them fell together."""
+"""Log of recent upstream deaths, to recognise deaths with a common cause."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True)
 class Death:
-    """Death of one upstream with the fingerprints that ran on it."""
+    """Death of one upstream.
+
+    `content_hashes` are the fingerprints of the requests that ran on it.
+    """
 
     failure_domain: str
     at_ms: float
@@ -25,12 +28,13 @@
 
 @dataclass
 class DeathLog:
-    """Tells independent deaths from the loss of a whole failure domain.
+    """Distinguishes independent deaths from the loss of a failure domain.
 
     Parameters
     ----------
     domain_size
-        Number of upstreams of a failure domain that this process hears of.
+        Returns the number of upstreams in a failure domain whose deaths this
+        process learns of.
     """
 
     clock: Clock
@@ -42,7 +46,7 @@
     def record(
         self, failure_domain: str, content_hashes: frozenset[int]
     ) -> int:
-        """Record a death now; return its number."""
+        """Record a death at the current time and return its id."""
         death_id = self._next_id
         self._next_id += 1
         now_ms = self.clock.now_ms()
@@ -55,64 +59,69 @@
     def counted(self, content_hash: int, death_ids: Iterable[int]) -> int:
         """Return how many deaths count against a fingerprint.
 
-        A death does not count where half of the other upstreams of its failure
-        domain, or `CORRELATED_MAX` of them, died within `CORRELATION_MS`
-        without the fingerprint on them. One such death is not enough in a
-        larger domain: another request may have caused it.
+        A death is not counted if enough other upstreams of its failure domain,
+        which did not run the fingerprint, died within `CORRELATION_MS` of it.
+        Enough means half of the domain or `CORRELATED_MAX` upstreams, whichever
+        is fewer. A single other death does not suffice in a larger domain,
+        because another request may have caused that one.
         """
-        deaths = [self._death_by_id.get(one) for one in death_ids]
+        deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
         return sum(
             death is not None and not self._is_correlated(content_hash, death)
             for death in deaths
         )
 
     def is_scattered_loss(self, death_ids: Iterable[int]) -> bool:
-        """Return whether `CORRELATED_MAX` others fell with each of the deaths.
+        """Return whether each death coincides with many others.
 
-        The others may be of any failure domain: one request that crashes an
-        upstream doesn't take that many with it within `CORRELATION_MS`.
+        A death does if at least `CORRELATED_MAX` other upstreams, of any
+        failure domain, died within `CORRELATION_MS` of it. A single request
+        that crashes upstreams does not kill that many in this time.
         """
-        deaths = [self._death_by_id.get(one) for one in death_ids]
+        deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
         return all(
             death is not None and self._fell_beside(death) > CORRELATED_MAX
             for death in deaths
         )
 
     def unsettled_ms(self, death_ids: Iterable[int]) -> float:
-        """Return how long a death may still turn out to be correlated."""
-        deaths = [self._death_by_id.get(one) for one in death_ids]
-        last_ms = max((one.at_ms for one in deaths if one), default=0)
+        """Return the time in which a death may still prove correlated."""
+        deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
+        last_ms = max((death.at_ms for death in deaths if death), default=0)
         return max(0, last_ms + CORRELATION_MS - self.clock.now_ms())
 
     def _fell_beside(self, death: Death) -> int:
-        """Return how many upstreams fell near a death, itself included."""
-        fell = 0
+        """Return how many deaths were close in time, including this one."""
+        count = 0
         for other in reversed(self._death_by_id.values()):
             if other.at_ms < death.at_ms - CORRELATION_MS:
                 break
-            fell += other.at_ms <= death.at_ms + CORRELATION_MS
-        return fell
+            count += other.at_ms <= death.at_ms + CORRELATION_MS
+        return count
 
     def _is_correlated(self, content_hash: int, death: Death) -> bool:
         half = self.domain_size(death.failure_domain) // 2
         needed = max(1, min(half, CORRELATED_MAX))
-        near = (
+        nearby = (
             other
             for other in self._deaths_by_domain[death.failure_domain]
             if abs(other.at_ms - death.at_ms) <= CORRELATION_MS
             and content_hash not in other.content_hashes
         )
-        return len(tuple(itertools.islice(near, needed))) == needed
+        return len(tuple(itertools.islice(nearby, needed))) == needed
 
     def _forget_old(self) -> None:
-        """Drop deaths past their retention; ids and times rise together."""
+        """Remove deaths that are past retention or above `DEATHS_MAX`.
+
+        Ids and times both increase, so the first entries are the oldest.
+        """
         since_ms = self.clock.now_ms() - DEATH_RETENTION_MS
-        surplus = len(self._death_by_id) - DEATHS_MAX
-        old = [
+        excess = len(self._death_by_id) - DEATHS_MAX
+        expired_ids = [
             death_id
             for index, (death_id, death) in enumerate(self._death_by_id.items())
-            if index < surplus or death.at_ms < since_ms
+            if index < excess or death.at_ms < since_ms
         ]
-        for death_id in old:
+        for death_id in expired_ids:
             death = self._death_by_id.pop(death_id)
             self._deaths_by_domain[death.failure_domain].remove(death)
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -1,4 +1,4 @@
-"""Leads one generation through its attempts until it is over."""
+"""Runs the attempts of one generation until it is over."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
 
 @dataclass(frozen=True)
 class _Chosen:
-    """Agent that the next attempt is sent to."""
+    """Agent that the next attempt is sent to.
+
+    `suspect` marks a request under which upstreams have died.
+    """
 
     agent: str
     request: PlacementRequest
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True)
 class DriverParts:
-    """What the driver shares with the rest of the entry."""
+    """Components that the driver shares with the rest of the entry."""
 
     transport: Transport
     placement: Placement
@@ -67,7 +70,7 @@
 
 
 class GenerationDriver:
-    """Dispatches attempts, and resumes after a loss at another upstream."""
+    """Dispatches attempts and, after a loss, resumes at another upstream."""
 
     def __init__(
         self,
@@ -101,7 +104,11 @@
         agent: str,
         attempt: int,
     ) -> None:
-        """Fetch the output of a running attempt, then go on from there."""
+        """Take over a generation that another entry started.
+
+        Fetches the output of its running attempt, then drives the generation
+        on from there.
+        """
         live.was_admitted = True
         generation = live.generation
         pending = live.expect_outcome(self._clock.now_ms())
@@ -118,11 +125,11 @@
         await self.drive(live)
 
     def send_cancel(self, live: LiveGeneration, place: AttemptPlace) -> None:
-        """Stop an attempt; one that is not known to run is revoked."""
-        identity = live.generation.spec.generation
-        message: Cancel | Revoke = Cancel(identity, place.number)
+        """Cancel an attempt, or revoke it if the agent has not admitted it."""
+        generation_id = live.generation.spec.generation
+        message: Cancel | Revoke = Cancel(generation_id, place.number)
         if not live.admitted:
-            message = Revoke(identity, place.number)
+            message = Revoke(generation_id, place.number)
         self._transport.send(place.agent, message)
 
     def _restore_output(
@@ -141,23 +148,23 @@
         refusal = generation_refusal(
             live,
             ReasonCode.OUTPUT_LOST,
-            f'the output is not available ({_cause(outcome)});'
-            ' send it as accepted_tokens',
+            'the output up to the cursor is not available'
+            f' ({_cause(outcome)}); send it as accepted_tokens',
         )
         generation.refuse(msgspec.structs.replace(refusal, peer=agent))
 
     async def _choose(self, live: LiveGeneration) -> _Chosen | None:
         while True:
-            go = await self._pass_guards(live)
-            if go is None:
+            proceed = await self._pass_guards(live)
+            if proceed is None:
                 return None
-            request = self._placement_request(live, go)
+            request = self._placement_request(live, proceed)
             try:
                 agent = self._preferred(live, request)
             except RefusedError as error:
                 refused = error.refusal
             else:
-                return _Chosen(agent, request, go.suspect)
+                return _Chosen(agent, request, proceed.suspect)
             if not self._may_wait(live, request):
                 live.generation.refuse(placement_refusal(live, refused))
                 return None
@@ -165,7 +172,7 @@
             await self._clock.sleep_ms(PLACEMENT_RETRY_MS)
 
     async def _pass_guards(self, live: LiveGeneration) -> Go | None:
-        """Return when an attempt may start; None if it was refused."""
+        """Wait until an attempt may start; return None if it is refused."""
         while True:
             decision: Go | Wait | Refusal | None = limit_refusal(
                 live,
@@ -187,11 +194,11 @@
         live: LiveGeneration,
         request: PlacementRequest,
     ) -> str:
-        """Return the standby if it may be used, else the best agent."""
+        """Return the standby if it can be used, else the best agent."""
         standby = live.standby
         live.standby = ''
-        usable = standby and standby not in request.excluded
-        if usable and self._placement.accepts(standby):
+        is_usable = standby and standby not in request.excluded
+        if is_usable and self._placement.accepts(standby):
             return standby
         return self._placement.choose(request)
 
@@ -299,7 +306,10 @@
     suspect: bool = False,
     warm_only: bool = False,
 ) -> Dispatch:
-    """Return the message that starts an attempt after the accepted tokens."""
+    """Return the message that starts an attempt.
+
+    The attempt continues after the tokens that the generation has accepted.
+    """
     generation = live.generation
     spec = generation.spec
     return Dispatch(
--- a/bergamotthread/process/generations/generation_guards.py
+++ b/bergamotthread/process/generations/generation_guards.py
@@ -1,4 +1,4 @@
-"""What each generation has to pass: overload, retry budgets and quarantine."""
+"""Guards of each generation: overload, retry budgets and quarantine."""
 
 from __future__ import annotations
 
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True)
 class Go:
-    """The next attempt may be sent; a suspect one is marked."""
+    """The next attempt may be sent, but not to the agents in `avoided`.
+
+    `suspect` marks a request under which upstreams have died.
+    """
 
     suspect: bool = False
     avoided: frozenset[str] = frozenset()
@@ -49,14 +52,14 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """The next attempt has to wait."""
+    """The next attempt has to wait for `wait_ms`."""
 
     wait_ms: float
 
 
 @dataclass
 class _Doubt:
-    """Attempts given up at an agent that is silent."""
+    """Generations whose attempts were given up at a suspected agent."""
 
     failure_domain: str
     since_ms: float
@@ -64,14 +67,14 @@
 
 
 class _NoSink(QuarantineSink):
-    """Tells nobody."""
+    """Sink that discards quarantines."""
 
     def quarantined(self, notice: Quarantine) -> None:
-        """Drop the notice."""
+        """Discard the notice."""
 
 
 class GenerationGuards:
-    """Guards of one entry, fed by the course of its generations."""
+    """Guards of one entry, updated with the progress of its generations."""
 
     def __init__(
         self,
@@ -88,7 +91,7 @@
         self._size_by_domain: Counter[str] = Counter()
 
     def apply_version(self, published: PublishedVersion) -> None:
-        """Take the weights of teams and the sizes of failure domains."""
+        """Update the weights of teams and the sizes of failure domains."""
         self._teams_by_name = published.teams_by_name
         self._size_by_domain = Counter(
             upstream.failure_domain
@@ -96,17 +99,18 @@
         )
 
     def admit(self, live: LiveGeneration, utilisation: float) -> None:
-        """Count a new generation in.
+        """Admit a new generation and count it as started.
 
         Parameters
         ----------
         utilisation
-            Attempts running and queued over slots, in the subset.
+            Running and queued attempts divided by slots, over the subset of
+            upstreams that this entry uses.
 
         Raises
         ------
         RefusedError
-            If its content is quarantined, or the subset is overloaded.
+            If the content is quarantined or the subset is overloaded.
         """
         spec = live.generation.spec
         verdict = self.poison.check(spec.fingerprint)
@@ -119,20 +123,20 @@
         self.retries.record_start(spec.team)
 
     def over(self, live: LiveGeneration, run_ms: float) -> None:
-        """Count a generation out that `admit` or `adopt` counted in."""
+        """Count a generation from `admit` or `adopt` as ended."""
         team = live.generation.spec.team
-        completed = live.generation.end is not None
-        self.overload.record_end(team, run_ms if completed else 0)
-        self.retries.record_end(team, succeeded=completed)
+        is_completed = live.generation.end is not None
+        self.overload.record_end(team, run_ms if is_completed else 0)
+        self.retries.record_end(team, succeeded=is_completed)
 
     def adopt(self, live: LiveGeneration) -> None:
-        """Count in a generation that another entry had admitted."""
+        """Count a generation that another entry admitted as started."""
         team = live.generation.spec.team
         self.overload.record_start(team)
         self.retries.record_start(team)
 
     def before_attempt(self, live: LiveGeneration) -> Go | Wait | Refusal:
-        """Decide on the next attempt of a generation."""
+        """Decide whether the next attempt of a generation may be sent."""
         content_hash = live.generation.spec.fingerprint
         match self.poison.check(content_hash):
             case Quarantined() as verdict:
@@ -146,18 +150,18 @@
                 return self._spend_retry(live, Go())
 
     def attempt_started(self, live: LiveGeneration, agent: str) -> None:
-        """Take in that an agent confirmed an attempt."""
+        """Record that an agent confirmed an attempt."""
         spec = live.generation.spec
         self.poison.record_start(agent, spec.generation, spec.fingerprint)
 
     def progressed(self, live: LiveGeneration, agent: str) -> None:
-        """Take in that the current attempt has produced tokens."""
+        """Record that the current attempt has produced tokens."""
         produced = live.generation.offset - live.resumed_at
-        identity = live.generation.spec.generation
-        self.poison.record_progress(agent, identity, produced)
+        generation_id = live.generation.spec.generation
+        self.poison.record_progress(agent, generation_id, produced)
 
     def attempt_ended(self, live: LiveGeneration, agent: str) -> None:
-        """Take in that an attempt ended while its upstream lived."""
+        """Record that an attempt ended while its upstream was alive."""
         self.poison.record_end(
             agent,
             live.generation.spec.generation,
@@ -170,39 +174,47 @@
         agent: str,
         failure_domain: str,
     ) -> None:
-        """Take in that an attempt was given up because its agent is silent.
+        """Record that an attempt was given up because its agent is suspected.
 
-        Silence is no death: whether the upstream died shows when the agent is
-        heard again, or after `DOUBT_MS`.
+        A silent agent need not be dead. Whether the upstream died is known
+        when the agent sends a message again, or is assumed after `DOUBT_MS`.
         """
         now_ms = self._clock.now_ms()
-        doubt = self._doubts_by_agent.setdefault(
+        suspicion = self._doubts_by_agent.setdefault(
             agent,
             _Doubt(failure_domain, now_ms),
         )
-        doubt.generations.add(live.generation.spec.generation)
+        suspicion.generations.add(live.generation.spec.generation)
 
     def heard(self, agent: str, *, is_new: bool) -> None:
-        """Take in a sign of life; `is_new` if it is of a newer process."""
-        doubt = self._doubts_by_agent.pop(agent, None)
-        if doubt is None:
+        """Record that an agent sent a message.
+
+        With `is_new` the message came from a newer process at the agent's
+        address, so the earlier one is counted as dead.
+        """
+        suspicion = self._doubts_by_agent.pop(agent, None)
+        if suspicion is None:
             return
         if is_new:
-            self.upstream_died(agent, doubt.failure_domain)
+            self.upstream_died(agent, suspicion.failure_domain)
             return
-        for generation in doubt.generations:
+        for generation in suspicion.generations:
             self.poison.record_end(agent, generation, completed=False)
 
     def settle_doubts(self) -> None:
-        """Take agents that were silent for `DOUBT_MS` as dead."""
+        """Count agents that were suspected for `DOUBT_MS` as dead."""
         before_ms = self._clock.now_ms() - DOUBT_MS
-        for agent, doubt in tuple(self._doubts_by_agent.items()):
-            if doubt.since_ms <= before_ms:
+        for agent, suspicion in tuple(self._doubts_by_agent.items()):
+            if suspicion.since_ms <= before_ms:
                 self._doubts_by_agent.pop(agent)
-                self.upstream_died(agent, doubt.failure_domain)
+                self.upstream_died(agent, suspicion.failure_domain)
 
     def upstream_died(self, agent: str, failure_domain: str) -> None:
-        """Charge the death of an upstream, once for all that ran on it."""
+        """Record the death of an upstream for all requests that ran on it.
+
+        Further reports for the agent within `DEATH_REPEAT_MS` concern the same
+        death and are ignored.
+        """
         now_ms = self._clock.now_ms()
         since_ms = now_ms - self._death_ms_by_agent.get(agent, -DEATH_REPEAT_MS)
         self._death_ms_by_agent[agent] = now_ms
@@ -210,8 +222,8 @@
             self.poison.record_death(agent, failure_domain)
 
     def _weight_of(self, team: str) -> float:
-        known = self._teams_by_name.get(team)
-        return known.weight if known else 1
+        configured = self._teams_by_name.get(team)
+        return configured.weight if configured else 1
 
     def _domain_size(self, failure_domain: str) -> int:
         return self._size_by_domain[failure_domain] or DEFAULT_DOMAIN_SIZE
@@ -235,7 +247,7 @@
             refusal = generation_refusal(
                 live,
                 ReasonCode.RETRIES_EXHAUSTED,
-                f'the retry budget of {decision.decided_by} is spent',
+                f'the retry budget of {decision.decided_by} is exhausted',
             )
             return msgspec.structs.replace(
                 refusal,
--- a/bergamotthread/process/generations/generation_watch.py
+++ b/bergamotthread/process/generations/generation_watch.py
@@ -1,4 +1,4 @@
-"""Notices that an attempt is lost and that a generation is abandoned."""
+"""Detects lost attempts and abandoned generations."""
 
 from __future__ import annotations
 
@@ -14,16 +14,24 @@
 
 @dataclass(frozen=True)
 class GenerationLimits:
-    """Times, in milliseconds, after which an entry stops waiting.
-
-    `admit_timeout_ms` is the wait for an agent's first word on a dispatch,
-    `first_token_timeout_ms` the wait for output once it is admitted
-    (`resumed_token_timeout_ms` for an attempt after a loss),
-    `resume_patience_ms` the wait for any upstream after a loss,
-    `adopt_timeout_ms` the wait for an agent whose output another entry held
-    (longer than the agent's way back to an entry that restarted, and within
-    the 3 s for a resumption), and `reconnect_grace_ms` how long output is kept
-    for a caller that went away.
+    """Time limits of an entry for its generations.
+
+    Parameters
+    ----------
+    admit_timeout_ms
+        Limit for an agent's first reply to a dispatch.
+    first_token_timeout_ms
+        Limit for the first output after the dispatch is admitted.
+    resumed_token_timeout_ms
+        The same limit for an attempt that resumes after a loss.
+    resume_patience_ms
+        Time after a loss for which a generation waits for any upstream.
+    adopt_timeout_ms
+        Limit for an agent to send the output of a generation that another
+        entry started. It is longer than an agent takes to reconnect to an
+        entry that restarted, and within the 3 s allowed for a resumption.
+    reconnect_grace_ms
+        Time for which a generation is kept for a caller that disconnected.
     """
 
     admit_timeout_ms: float = 600
@@ -35,7 +43,7 @@
 
 
 class GenerationWatch:
-    """Judges generations in flight by silence and by time."""
+    """Checks running generations against their time limits."""
 
     def __init__(
         self,
@@ -46,7 +54,7 @@
         self._limits = limits
 
     def loss(self, live: LiveGeneration, now_ms: float) -> Lost | None:
-        """Return how the current attempt was lost, or None."""
+        """Return how the current attempt was lost, None if it was not."""
         place = live.generation.place
         if not place.agent:
             return None
@@ -65,14 +73,14 @@
         return None
 
     def is_abandoned(self, live: LiveGeneration, now_ms: float) -> bool:
-        """Return whether no caller will come back for the output."""
+        """Return whether no caller reads and the reconnect grace is over."""
         if live.readers:
             return False
         idle_ms = now_ms - live.abandoned_ms
         return idle_ms > self._limits.reconnect_grace_ms
 
     def is_releasable(self, live: LiveGeneration, now_ms: float) -> bool:
-        """Return whether a generation that is over need not be kept."""
+        """Return whether a generation is over and past its retention."""
         if live.readers or not live.generation.is_over:
             return False
         is_delivered = live.backlog == 0
--- a/bergamotthread/process/generations/generations.py
+++ b/bergamotthread/process/generations/generations.py
@@ -1,4 +1,4 @@
-"""All generations of an entry: dispatch, relay, detection and resume."""
+"""Generations of an entry: dispatch, relay, loss detection and resume."""
 
 from __future__ import annotations
 
@@ -100,26 +100,26 @@
         self._watch = GenerationWatch(self._peers, self.limits)
 
     async def run(self) -> None:
-        """Watch and acknowledge until cancelled."""
+        """Check, acknowledge and release generations until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._watch_forever())
             group.create_task(self._acknowledge_forever())
             group.create_task(self._release_forever())
 
     def put_in_force(self, published: PublishedVersion) -> None:
-        """Decide by a newer version from now on."""
+        """Apply a published version if it is newer than the current one."""
         if published.version > self.config_version:
             self.config_version = published.version
             self.guards.apply_version(published)
             self._placement.publish(published)
 
     def start(self, live: LiveGeneration) -> None:
-        """Admit a generation and run it until it is over.
+        """Admit a generation and start to run it in a task.
 
         Raises
         ------
         RefusedError
-            If a guard refuses it; nothing has run then.
+            If a guard refuses it; in this case nothing has run.
         """
         pin = live.generation.spec.pin
         self.observers.demand.record(pin)
@@ -127,12 +127,12 @@
         self._run(live, self._driver.drive(live))
 
     def adopt(self, live: LiveGeneration, agent: str, attempt: int) -> None:
-        """Take over a generation whose entry was lost, at its agent."""
+        """Take over a generation of a lost entry at the agent that runs it."""
         self.guards.adopt(live)
         self._run(live, self._driver.adopt(live, agent, attempt))
 
     def cancel(self, live: LiveGeneration) -> None:
-        """End a generation that nobody reads and stop its attempt."""
+        """Cancel a generation without readers and stop its attempt."""
         generation = live.generation
         if generation.is_over:
             return
@@ -146,7 +146,7 @@
         live.notify()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message from an agent."""
+        """Handle a message from an agent."""
         is_new = self._peers.record(envelope.sender, envelope.incarnation)
         self.guards.heard(envelope.sender, is_new=is_new)
         if is_new:
@@ -175,11 +175,11 @@
                 self._on_revoked(revoked, envelope.sender)
 
     def watch_once(self) -> None:
-        """Judge all generations that are not over."""
+        """Check all running generations for losses and abandonment."""
         now_ms = self._clock.now_ms()
-        for identity, live in tuple(self._running_by_id.items()):
+        for generation_id, live in tuple(self._running_by_id.items()):
             if live.generation.is_over:
-                self._running_by_id.pop(identity)
+                self._running_by_id.pop(generation_id)
             elif self._watch.is_abandoned(live, now_ms):
                 self.cancel(live)
             else:
@@ -195,9 +195,9 @@
         live: LiveGeneration,
         work: Coroutine[None, None, None],
     ) -> None:
-        identity = live.generation.spec.generation
-        self.by_id[identity] = live
-        self._running_by_id[identity] = live
+        generation_id = live.generation.spec.generation
+        self.by_id[generation_id] = live
+        self._running_by_id[generation_id] = live
         self._trace.admitted(live)
         live.task = asyncio.create_task(work)
         live.task.add_done_callback(partial(self._on_over, live))
@@ -345,21 +345,21 @@
             await self._clock.sleep_ms(RELEASE_INTERVAL_MS)
             self.guards.settle_doubts()
             now_ms = self._clock.now_ms()
-            for identity, live in tuple(self.by_id.items()):
+            for generation_id, live in tuple(self.by_id.items()):
                 if self._watch.is_releasable(live, now_ms):
                     live.generation.forget()
-                    self.by_id.pop(identity)
+                    self.by_id.pop(generation_id)
 
     async def _acknowledge_forever(self) -> None:
         while True:
             await self._clock.sleep_ms(ACK_CHECK_INTERVAL_MS)
             acks_by_agent: dict[str, list[Ack]] = defaultdict(list)
             now_ms = self._clock.now_ms()
-            for identity, live in self._running_by_id.items():
+            for generation_id, live in self._running_by_id.items():
                 place = live.generation.place
                 if live.admitted and place.agent and live.is_ack_due(now_ms):
                     live.note_ack(now_ms)
-                    ack = Ack(identity, place.number, live.consumed)
+                    ack = Ack(generation_id, place.number, live.consumed)
                     acks_by_agent[place.agent].append(ack)
             for agent, acks in acks_by_agent.items():
                 self._transport.send(
--- a/bergamotthread/process/generations/output_flusher.py
+++ b/bergamotthread/process/generations/output_flusher.py
@@ -1,4 +1,4 @@
-"""Sends the output of all attempts, at most once per interval and entry."""
+"""Batches the output of all attempts and sends it to the entries."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class OutputFlusher:
-    """Coalesces new output into one `OutputBatch` for each entry.
+    """Combines new output into one `OutputBatch` for each entry.
 
-    An entry with running attempts gets an empty batch as a heartbeat when
-    nothing was sent to it for `BEAT_INTERVAL_MS`.
+    If nothing was sent to an entry with running attempts for
+    `BEAT_INTERVAL_MS`, it gets an empty batch as a heartbeat.
     """
 
     def __init__(self, transport: Transport, clock: Clock) -> None:
@@ -30,17 +30,17 @@
         self._has_fresh = asyncio.Event()
 
     def mark(self, buffer: OutputBuffer) -> None:
-        """Send the new output of `buffer` with the next flush."""
+        """Mark `buffer` so that the next flush sends its new output."""
         self._fresh[buffer] = None
         self._has_fresh.set()
 
     async def wait_marked(self, limit_ms: float) -> bool:
-        """Wait until there is output to send, for at most `limit_ms`.
+        """Wait up to `limit_ms` for output to send.
 
         Returns
         -------
         bool
-            Whether there is output.
+            Whether there is output to send.
         """
         try:
             async with self._clock.timeout_ms(limit_ms):
@@ -49,7 +49,7 @@
             return False
 
     def marked(self) -> tuple[OutputBuffer, ...]:
-        """Return the buffers that the next flush sends."""
+        """Return the buffers whose output the next flush sends."""
         return tuple(self._fresh)
 
     def flush(self) -> None:
@@ -65,18 +65,21 @@
             self._send(entry, tuple(frames))
 
     def report(self, entry: str) -> None:
-        """Send the load report to an entry that asked for it."""
+        """Send the load report to an entry that requested it."""
         self._send(entry, ())
 
     def beat(self, entries: set[str]) -> None:
-        """Send a heartbeat to those of `entries` that heard nothing lately."""
+        """Send a heartbeat to each of `entries` whose interval has passed.
+
+        Send times of all other entries are removed.
+        """
         now_ms = self._clock.now_ms()
         for entry in entries:
             silent_ms = now_ms - self._sent_ms_by_entry.get(entry, 0)
             if silent_ms >= BEAT_INTERVAL_MS:
                 self._send(entry, ())
-        for stale in self._sent_ms_by_entry.keys() - entries:
-            self._sent_ms_by_entry.pop(stale)
+        for unused_entry in self._sent_ms_by_entry.keys() - entries:
+            self._sent_ms_by_entry.pop(unused_entry)
 
     def _send(self, entry: str, frames: tuple[Frame, ...]) -> None:
         self._sent_ms_by_entry[entry] = self._clock.now_ms()
--- a/bergamotthread/process/generations/poison.py
+++ b/bergamotthread/process/generations/poison.py
@@ -1,10 +1,10 @@
-"""Requests that kill the upstreams that run them.
+"""Detection and quarantine of requests that crash the upstreams running them.
 
-Every attempt on an upstream that dies is charged with the death, by the
-fingerprint of its content. Progress clears the charges; a death in a failure
-domain that loses several upstreams at once is not counted. A fingerprint with
-`COUNTED_DEATHS_MAX` counted deaths and no progress between them is refused, and
-so is one with `CHARGED_DEATHS_MAX` deaths of any kind and no completion.
+When an upstream dies, the death is charged to the content fingerprint of each
+attempt that ran on it. Progress of an attempt clears its charges. A death is
+not counted if its failure domain lost several upstreams at once. A fingerprint
+is quarantined after `COUNTED_DEATHS_MAX` counted deaths without progress in
+between, or after `CHARGED_DEATHS_MAX` deaths of any kind without a completion.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def fingerprint(team: str, pin: Pin, prompt: str) -> int:
-    """Return the 64-bit fingerprint of a request's content, never 0."""
+    """Return the non-zero 64-bit fingerprint of a request's content."""
     parts = (team, pin.model, pin.version, pin.adapter, prompt)
     joined = _FIELD_SEPARATOR.join(parts).encode()
     return xxhash.xxh3_64_intdigest(joined) or 1
@@ -44,19 +44,25 @@
 
 @dataclass(frozen=True)
 class Clear:
-    """Nothing speaks against the request."""
+    """The request may run anywhere: no death counts against it."""
 
 
 @dataclass(frozen=True)
 class Suspect:
-    """Upstreams died under the request; it shares none with a suspect."""
+    """Upstreams died while running the request.
+
+    It may run, but not on an upstream that runs another suspect request.
+    """
 
     deaths: int
 
 
 @dataclass(frozen=True)
 class Undecided:
-    """The last death may still prove to be the loss of a failure domain."""
+    """The last death may still prove part of the loss of a failure domain.
+
+    The request has to wait for `wait_ms` until this is decided.
+    """
 
     deaths: int
     wait_ms: float
@@ -64,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Quarantined:
-    """The request is refused everywhere."""
+    """The request is refused at every entry."""
 
     deaths: int
     remaining_ms: float
@@ -74,10 +80,10 @@
 
 
 class QuarantineSink(Protocol):
-    """Takes quarantines to peers, the table and the audit trail."""
+    """Receiver of quarantines that this process confirms."""
 
     def quarantined(self, notice: Quarantine) -> None:
-        """Take in that this process confirmed a quarantine."""
+        """Publish a quarantine that this process confirmed."""
 
 
 def _default_domain_size(failure_domain: str) -> int:
@@ -103,12 +109,13 @@
 
 @dataclass
 class PoisonGuard:
-    """Charges deaths to fingerprints and refuses those that pass the bounds.
+    """Charges deaths to fingerprints and quarantines those over the limits.
 
     Parameters
     ----------
     domain_size
-        Number of upstreams of a failure domain that this process hears of.
+        Returns the number of upstreams in a failure domain whose deaths this
+        process learns of.
     """
 
     clock: Clock
@@ -137,8 +144,8 @@
             return Quarantined(record.confirmed_deaths, remaining_ms)
         counted = self._counted(content_hash, record)
         if counted < COUNTED_DEATHS_MAX and record.charged < CHARGED_DEATHS_MAX:
-            suspicious = self._is_suspicious(record, counted)
-            return Suspect(counted) if suspicious else Clear()
+            is_suspect = self._is_suspicious(record, counted)
+            return Suspect(counted) if is_suspect else Clear()
         if record.charged < CHARGED_DEATHS_MAX:
             wait_ms = self._unsettled_ms(record)
             if wait_ms > 0:
@@ -146,24 +153,27 @@
         return self._confirm(content_hash, record, max(counted, record.charged))
 
     def avoided_agents(self, content_hash: int) -> frozenset[str]:
-        """Return agents on which another suspect of this process runs."""
+        """Return the agents that run another suspect request.
+
+        Only requests that this process sent are known.
+        """
         return frozenset(
             agent
             for agent, attempts in self._attempts_by_agent.items()
             if any(
-                one.fingerprint != content_hash and self._endangers(one)
-                for one in attempts.values()
+                attempt.fingerprint != content_hash and self._endangers(attempt)
+                for attempt in attempts.values()
             )
         )
 
     def record_start(
         self, agent: str, generation: str, content_hash: int
     ) -> None:
-        """Take in that an agent confirmed an attempt (`Admitted`).
+        """Record that an agent confirmed an attempt with `Admitted`.
 
-        An attempt that was sent and not confirmed can't be the cause of a
-        death; were it charged, a loss of many upstreams at once would charge
-        a request for each dead one that it was resumed to.
+        An attempt that was sent but not confirmed can't have caused a death.
+        If it were charged, the loss of many upstreams at once would charge a
+        request for every dead upstream that it was resumed at.
         """
         attempts = self._attempts_by_agent.setdefault(agent, {})
         attempts[generation] = _Attempt(content_hash)
@@ -174,7 +184,7 @@
         generation: str,
         produced: int,
     ) -> None:
-        """Take in the tokens that the attempt has produced in all."""
+        """Record the total number of tokens that an attempt has produced."""
         attempts = self._attempts_by_agent.get(agent, {})
         attempt = attempts.get(generation)
         if attempt is None or attempt.produced >= CLEARING_TOKENS:
@@ -190,7 +200,7 @@
         *,
         completed: bool,
     ) -> None:
-        """Take in that an attempt ended while its upstream lived."""
+        """Record that an attempt ended while its upstream was alive."""
         attempt = self._attempts_by_agent.get(agent, {}).pop(generation, None)
         if attempt is None or not completed:
             return
@@ -200,13 +210,16 @@
             record.charged = 0
 
     def record_death(self, agent: str, failure_domain: str) -> None:
-        """Charge the death of an upstream to all that ran on it from here.
+        """Charge the death of an upstream to the requests that ran on it.
 
-        Deaths of upstreams that ran nothing from here are recorded as well,
-        since they show the loss of a failure domain.
+        Only requests that this process sent are known. The death of an
+        upstream without such requests is recorded too, because it helps to
+        recognise the loss of a failure domain.
         """
         attempts = self._attempts_by_agent.pop(agent, {})
-        content_hashes = frozenset(one.fingerprint for one in attempts.values())
+        content_hashes = frozenset(
+            attempt.fingerprint for attempt in attempts.values()
+        )
         death_id = self.deaths.record(failure_domain, content_hashes)
         for content_hash in content_hashes:
             record = self._record(content_hash)
@@ -215,10 +228,10 @@
         self._unsettled |= content_hashes
 
     def take_charges(self) -> tuple[Quarantine, ...]:
-        """Return this process's charges that changed since the last call.
+        """Return the charges of this process that changed since the last call.
 
-        Charges that rose and fell again between two calls, as in the loss of a
-        failure domain, are not returned.
+        A charge that rose and fell back between two calls, as in the loss of a
+        failure domain, is not returned.
         """
         changed: list[Quarantine] = []
         for content_hash in sorted(self._unsettled):
@@ -232,7 +245,7 @@
         return tuple(changed)
 
     def merge(self, sender: str, notice: Quarantine) -> None:
-        """Take in charges or a confirmed quarantine from another entry."""
+        """Apply charges or a confirmed quarantine from another entry."""
         record = self._record(notice.fingerprint)
         if notice.confirmed:
             self.restore(notice, QUARANTINE_MS)
@@ -241,13 +254,13 @@
             record.peer_ms = self.clock.now_ms()
 
     def restore(self, notice: Quarantine, remaining_ms: float) -> None:
-        """Take in a quarantine, such as one that the table holds."""
+        """Apply an existing quarantine, such as one read from the table."""
         record = self._record(notice.fingerprint)
         record.confirmed_deaths = max(record.confirmed_deaths, notice.deaths)
         record.quarantined_until_ms = self.clock.now_ms() + remaining_ms
 
     def release(self, content_hash: int) -> None:
-        """Forget a fingerprint, on an operator's word."""
+        """Remove a fingerprint that an operator released."""
         self._record_by_fingerprint.pop(content_hash, None)
 
     def _counted(self, content_hash: int, record: _Record) -> int:
@@ -266,11 +279,12 @@
         return self._is_suspicious(record, counted)
 
     def _is_suspicious(self, record: _Record, counted: int) -> bool:
-        """Return whether a request must be kept apart from other suspects.
+        """Return whether a request must be isolated from other suspects.
 
-        After the loss of many upstreams all that ran on them is resumed; kept
-        apart, these requests would wait for one another. A second death keeps
-        a request apart whatever fell beside it.
+        After the loss of many upstreams at once, all requests that ran on them
+        are resumed; isolating them would make them wait for one another. From
+        its second counted death on, a request is isolated even if other
+        upstreams died at the same time.
         """
         if counted != 1 or not record.death_ids:
             return counted > 0
@@ -305,8 +319,8 @@
     return Refusal(
         reason=ReasonCode.QUARANTINED,
         detail=(
-            f'{verdict.deaths} upstreams died while they ran a request of this'
-            ' content; it is not sent to another one'
+            f'{verdict.deaths} upstreams died while running a request with this'
+            ' content; it is not sent to any further upstream'
         ),
         step=Step.ADMIT,
         ran=ran,
--- a/bergamotthread/process/generations/quarantine_store.py
+++ b/bergamotthread/process/generations/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Takes charges and quarantines to peers, the table and the audit trail."""
+"""Propagates charges and quarantines to peers, table and audit trail."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class QuarantineRow(msgspec.Struct, frozen=True):
-    """Body of a row; `until_ms` counts from the Unix epoch."""
+    """Stored quarantine; `until_ms` is in milliseconds since the Unix epoch."""
 
     fingerprint: int
     deaths: int
@@ -34,24 +34,24 @@
 
 
 class AuditSink(Protocol):
-    """Takes what the audit trail must show."""
+    """Receiver of records for the audit trail."""
 
     def quarantine_recorded(self, row: QuarantineRow) -> None:
-        """Take in a quarantine that this process confirmed."""
+        """Record a quarantine that this process confirmed."""
 
 
 def quarantine_key(content_hash: int) -> str:
-    """Return the key of the row of a fingerprint."""
+    """Return the row key for a fingerprint."""
     return f'{QUARANTINE_PREFIX}{content_hash:016x}'
 
 
 @dataclass
 class QuarantinePublisher(QuarantineSink):
-    """Tells peers and keeps rows until the table has taken them.
+    """Sends quarantines to peers and keeps rows until the table stores them.
 
-    A quarantine is told at once. Charges wait for `flush`, which tells only
-    the newest of each fingerprint, so that the loss of a failure domain, whose
-    charges fall to zero again, costs no traffic.
+    Quarantines are sent immediately. Charges are sent by `flush`, and only the
+    newest of each fingerprint: the loss of a failure domain, after which
+    charges fall back to zero, then causes no traffic.
     """
 
     clock: Clock
@@ -63,7 +63,11 @@
     _unsaved: list[QuarantineRow] = field(default_factory=list)
 
     def quarantined(self, notice: Quarantine) -> None:
-        """Tell all peers at once and keep the row to be saved."""
+        """Send a quarantine to all peers and queue its row for `save`.
+
+        If more than `UNSAVED_MAX` rows are queued, the oldest one is dropped
+        and counted in `lost_rows`.
+        """
         self._tell_peers(notice)
         row = QuarantineRow(
             fingerprint=notice.fingerprint,
@@ -78,17 +82,18 @@
             self.lost_rows += 1
 
     def flush(self, guard: PoisonGuard) -> None:
-        """Tell peers the charges that changed; call about once a second."""
+        """Send changed charges to peers; called about once a second."""
         for notice in guard.take_charges():
             self._tell_peers(notice)
 
     async def save(self) -> None:
-        """Write all rows that the table has not taken yet.
+        """Write all queued rows to the table.
 
         Raises
         ------
         StoreUnavailableError
-            If the table does not answer; the rows are kept for the next call.
+            If the table does not answer; the rows stay queued for the next
+            call.
         """
         while self._unsaved:
             row = self._unsaved[0]
@@ -97,7 +102,7 @@
                 self._unsaved.remove(row)
 
     async def load(self, guard: PoisonGuard) -> None:
-        """Hand all rows of the table that still hold to a guard."""
+        """Restore the quarantines in the table that have not expired."""
         rows = await self.table.scan(
             QUARANTINE_PREFIX,
             limit=QUARANTINE_ROWS_MAX,
@@ -111,8 +116,8 @@
 
     async def _write(self, row: QuarantineRow) -> None:
         key = quarantine_key(row.fingerprint)
-        held = await self.table.read(key)
-        expected = held.revision if held else 0
+        stored = await self.table.read(key)
+        expected = stored.revision if stored else 0
         try:
             await self.table.write(
                 key,
--- a/bergamotthread/process/generations/quarantines.py
+++ b/bergamotthread/process/generations/quarantines.py
@@ -1,4 +1,4 @@
-"""Keeps quarantines in step between peers, the table and the audit trail."""
+"""Synchronises quarantines between peers, the table and the audit trail."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class Quarantines:
-    """Tells charges to peers and keeps confirmed quarantines in the table.
+    """Sends charges to peers and stores confirmed quarantines in the table.
 
-    `guard` is set once, before `run`.
+    `guard` is set once, before `run` is called.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._is_loaded = False
 
     async def run(self) -> None:
-        """Exchange with peers and the table until cancelled."""
+        """Synchronise with peers and the table until cancelled."""
         while True:
             await self._clock.sleep_ms(FLUSH_INTERVAL_MS)
             if self.guard is not None:
@@ -54,7 +54,7 @@
                 await self._exchange()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in what a peer tells."""
+        """Apply a charge or quarantine from a peer."""
         if isinstance(envelope.message, Quarantine) and self.guard:
             self.guard.merge(envelope.sender, envelope.message)
 
--- a/bergamotthread/process/generations/running_attempts.py
+++ b/bergamotthread/process/generations/running_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that an upstream runs, with the capacity that they hold."""
+"""Attempts that an upstream runs and the capacity that they use."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class RunningAttempt:
     """One attempt on the engine.
 
-    `context_tokens` are prompt and accepted tokens, `prefill_tokens` the part
-    of them that the engine's cache does not cover.
+    `context_tokens` counts prompt and accepted tokens, `prefill_tokens` those
+    of them that are not in the engine's KV cache.
     """
 
     dispatch: Dispatch
@@ -37,18 +37,18 @@
 
     @property
     def is_prefilling(self) -> bool:
-        """Return whether no token has been produced yet."""
+        """Whether no token has been produced yet."""
         return self.first_token_ms == 0
 
     @property
     def kv_tokens(self) -> float:
-        """Return cache tokens in use or reserved for the output."""
+        """KV cache tokens in use by the context and reserved for the output."""
         return self.context_tokens + max(self.produced, self.reserved_tokens)
 
 
 @dataclass
 class RunStatistics:
-    """Smoothed rates of one engine, from its own attempts."""
+    """Smoothed output lengths and rates of one engine."""
 
     output_tokens: float = DEFAULT_OUTPUT_TOKENS
     run_ms: float = DEFAULT_RUN_MS
@@ -58,14 +58,15 @@
 
     @property
     def prefill_per_s(self) -> float:
-        """Return prefill tokens per second of one attempt."""
+        """Prefill rate of one attempt, in tokens per second."""
         return self._prefill_tokens / self._prefill_ms * _MS_PER_S
 
     def record_prefill(self, tokens: int, duration_ms: float) -> None:
-        """Take in the time from start to first token.
+        """Record the time from start to first token.
 
-        Prompts below `PREFILL_SAMPLE_MIN_TOKENS` are passed over: their time
-        is that of a step of the engine, not of their tokens.
+        Prompts shorter than `PREFILL_SAMPLE_MIN_TOKENS` are ignored: their
+        time depends on the duration of an engine step rather than on the
+        number of tokens.
         """
         if tokens < PREFILL_SAMPLE_MIN_TOKENS:
             return
@@ -73,19 +74,19 @@
         self._prefill_ms = self._prefill_ms * _RATE_DECAY + duration_ms
 
     def record_interval(self, between_ms: float) -> None:
-        """Take in a mean time between tokens."""
-        before_ms = self.between_tokens_ms or between_ms
-        self.between_tokens_ms = _smoothed(before_ms, between_ms)
+        """Record a mean time between tokens."""
+        previous_ms = self.between_tokens_ms or between_ms
+        self.between_tokens_ms = _smoothed(previous_ms, between_ms)
 
     def record_end(self, produced: int, duration_ms: float) -> None:
-        """Take in the length and the duration of an attempt."""
+        """Record the output length and the duration of an attempt."""
         self.output_tokens = _smoothed(self.output_tokens, produced)
         self.run_ms = _smoothed(self.run_ms, duration_ms)
 
 
 @dataclass
 class RunningAttempts:
-    """All attempts on the engine, by generation and attempt number."""
+    """Attempts on the engine, by generation and attempt number."""
 
     statistics: RunStatistics = field(default_factory=RunStatistics)
     by_key: dict[AttemptKey, RunningAttempt] = field(default_factory=dict)
@@ -96,34 +97,43 @@
 
     @property
     def kv_tokens(self) -> float:
-        """Return cache tokens in use or reserved."""
-        return sum(one.kv_tokens for one in self.by_key.values())
+        """KV cache tokens in use or reserved, over all attempts."""
+        return sum(attempt.kv_tokens for attempt in self.by_key.values())
 
     @property
     def prefill_tokens(self) -> int:
-        """Return prefill tokens of attempts without a first token."""
-        running = self.by_key.values()
-        return sum(one.prefill_tokens for one in running if one.is_prefilling)
+        """Prefill tokens of attempts that have produced no token yet."""
+        attempts = self.by_key.values()
+        return sum(
+            attempt.prefill_tokens
+            for attempt in attempts
+            if attempt.is_prefilling
+        )
 
     @property
     def suspects(self) -> int:
-        """Return how many suspect attempts run without progress yet."""
+        """Number of suspect attempts with fewer than `CLEARING_TOKENS`."""
         return sum(
-            one.dispatch.suspect and one.produced < CLEARING_TOKENS
-            for one in self.by_key.values()
+            attempt.dispatch.suspect and attempt.produced < CLEARING_TOKENS
+            for attempt in self.by_key.values()
         )
 
     def count_by_team(self) -> Counter[str]:
         """Return the number of attempts of each team."""
-        return Counter(one.dispatch.team for one in self.by_key.values())
+        return Counter(
+            attempt.dispatch.team for attempt in self.by_key.values()
+        )
 
     def prefill_left(self, now_ms: float) -> float:
-        """Return prefill tokens that are probably still to be computed."""
-        rate = self.statistics.prefill_per_s / _MS_PER_S
+        """Return an estimate of the prefill tokens still to be computed."""
+        per_ms = self.statistics.prefill_per_s / _MS_PER_S
         return sum(
-            max(0, one.prefill_tokens - (now_ms - one.started_ms) * rate)
-            for one in self.by_key.values()
-            if one.is_prefilling
+            max(
+                0,
+                attempt.prefill_tokens - (now_ms - attempt.started_ms) * per_ms,
+            )
+            for attempt in self.by_key.values()
+            if attempt.is_prefilling
         )
 
     def record_tokens(
@@ -132,7 +142,7 @@
         produced: int,
         now_ms: float,
     ) -> None:
-        """Take in that an attempt has produced `produced` tokens in all."""
+        """Record that an attempt has produced `produced` tokens in total."""
         if attempt.is_prefilling:
             attempt.first_token_ms = now_ms
             self.statistics.record_prefill(
@@ -147,7 +157,7 @@
         attempt.last_progress_ms = now_ms
 
     def end(self, key: AttemptKey, now_ms: float) -> bool:
-        """Release an attempt; return whether it was running."""
+        """Remove an attempt; return whether it was running."""
         attempt = self.by_key.pop(key, None)
         if attempt is None:
             return False
