--- a/bergamotthread/process/calls/__init__.py
+++ b/bergamotthread/process/calls/__init__.py
@@ -1,1 +1,5 @@
-"""Calls that run at most once: decided from their rows and tickets."""
+"""Calls of plain services, run at most once with the help of rows and tickets.
+
+A row in the platform's table records the state of a call, a ticket permits an
+agent to send it once.
+"""
--- a/bergamotthread/process/calls/call_cleaner.py
+++ b/bergamotthread/process/calls/call_cleaner.py
@@ -1,7 +1,8 @@
-"""Upkeep of the rows of calls, within the write budget.
+"""Cleaning of call rows within a write budget.
 
-Rows whose key lifetime is over are deleted, and rows whose holder went silent
-after the dispatch become unknown, so that operators see them.
+Rows are deleted when the lifetime of their key is over. Dispatched rows whose
+lease ended without an outcome, because their holder went silent, are marked
+unknown, so that operators see them.
 """
 
 from __future__ import annotations
@@ -33,20 +34,22 @@
 
 @dataclass(frozen=True)
 class CleanerLimits:
-    """Limits of the upkeep by one process.
+    """Limits of the cleaning by one process.
 
     Parameters
     ----------
     interval_ms
-        Time between two steps; each step scans one prefix.
+        Mean time between two steps; each step scans one key prefix.
     scan_rows
-        Rows that a scan returns; a prefix with more is narrowed.
+        Maximum number of rows per scan. A prefix that reaches it is made
+        longer and scanned again.
     writes
-        Rows that a step writes or deletes at most.
+        Maximum number of rows that a step writes or deletes.
     grace_ms
-        Time after its lease before a dispatched row becomes unknown.
+        Time after the end of its lease at which a dispatched row is marked
+        unknown.
     digits
-        Hexadecimal digits of the prefix that is scanned at first.
+        Number of hexadecimal digits of the first prefix of a step.
     """
 
     interval_ms: float = 10_000
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True)
 class CleanerStep:
-    """What one step found and did."""
+    """Numbers of rows that a step scanned, deleted and marked unknown."""
 
     scanned: int = 0
     deleted: int = 0
@@ -67,10 +70,10 @@
 
 @dataclass
 class CallCleaner:
-    """Scans the rows of calls, one random prefix after another.
+    """Scans call rows by random key prefixes and cleans them.
 
-    All entries clean without a coordinator; two that meet at one row are told
-    apart by compare-and-set.
+    All entries clean without a coordinator. If two of them change the same
+    row, compare-and-set lets only one succeed.
     """
 
     table: Table
@@ -80,7 +83,7 @@
     _writes_left: int = 0
 
     async def run(self) -> None:
-        """Clean at an interval until cancelled."""
+        """Clean at a jittered interval until cancelled."""
         while True:
             jitter = self.rng.uniform(0.5, 1.5)
             await self.clock.sleep_ms(self.limits.interval_ms * jitter)
@@ -89,7 +92,7 @@
             except StoreUnavailableError as error:
                 logging.log_every_n_seconds(
                     logging.WARNING,
-                    'upkeep of calls waits for the store: %s',
+                    'call rows not cleaned, retried at the next interval: %s',
                     LOG_INTERVAL_S,
                     error,
                 )
@@ -137,9 +140,9 @@
                 now_ms = self.clock.calendar_ms()
                 if now_ms < lease_until_ms + self.limits.grace_ms:
                     return False
-                goal = Unknown(sending, 'its holder went silent')
-                lost = settle(call_row, goal, 'cleaner', now_ms)
-                return lost is not None and await self._write(row, lost)
+                unknown = Unknown(sending, 'its holder went silent')
+                settled = settle(call_row, unknown, 'cleaner', now_ms)
+                return settled is not None and await self._write(row, settled)
         return False
 
     async def _index(self, row: Row) -> bool:
--- a/bergamotthread/process/calls/call_executor.py
+++ b/bergamotthread/process/calls/call_executor.py
@@ -1,7 +1,7 @@
-"""Calls of the plain service beside an agent.
+"""Execution of calls at the plain service next to an agent.
 
-The executor alone sends calls to its upstream. A guarded call is sent on a
-ticket of this process only, and at most once on each.
+Only the executor sends calls to its upstream. It sends a guarded call only
+with a ticket that this process issued, and at most once per ticket.
 """
 
 from __future__ import annotations
@@ -50,17 +50,18 @@
     Parameters
     ----------
     concurrent
-        Calls under way at once; more are turned away.
+        Maximum number of calls in flight; further ones are declined.
     ticket_lifetime_ms
-        Time within which a ticket must be used.
+        Time after which an unused ticket is closed.
     answer_limit_ms
-        Longest wait for an upstream's answer, also after the caller left.
+        Timeout for the upstream's answer to a guarded call. It also applies
+        after the caller has disconnected.
     replies, reply_bytes
-        Replies, and bytes of them, that are kept for later questions.
+        Maximum number and total bytes of replies kept for later queries.
     fences
-        Keys whose highest fencing token is remembered.
+        Number of keys whose highest fencing token is kept.
     retry_after_ms
-        Time after which a call that was turned away may be tried again.
+        Time after which a declined call may be retried.
     """
 
     concurrent: int = 256
@@ -73,7 +74,7 @@
 
 
 class ReplyCache:
-    """Newest replies by call, bounded in number and in bytes."""
+    """Most recent replies by call, limited in number and total bytes."""
 
     def __init__(self, replies: int, reply_bytes: int) -> None:
         self._replies = replies
@@ -82,15 +83,15 @@
         self._by_call: OrderedDict[_CallId, CallReply] = OrderedDict()
 
     def add(self, reply: CallReply) -> None:
-        """Keep a reply and drop the oldest ones beyond the limits."""
+        """Add a reply and evict the oldest ones above the limits."""
         self._by_call[(reply.call, reply.attempt)] = reply
         self._held_bytes += len(reply.body)
         while self._is_over():
-            _, dropped = self._by_call.popitem(last=False)
-            self._held_bytes -= len(dropped.body)
+            _, evicted = self._by_call.popitem(last=False)
+            self._held_bytes -= len(evicted.body)
 
     def get(self, call: str, ticket: int) -> CallReply | None:
-        """Return the reply to a call, if it is still held."""
+        """Return the reply to a call, None if it is not held."""
         return self._by_call.get((call, ticket))
 
     def _is_over(self) -> bool:
@@ -99,12 +100,13 @@
 
 
 class CallExecutor:
-    """Answers offers, dispatches and questions about calls.
+    """Handles offers, dispatches and revocations of calls.
 
     Parameters
     ----------
     transport
-        Transport of the agent; its incarnation tells this process from others.
+        Transport of the agent. Its incarnation distinguishes this process from
+        earlier ones at the same address.
     client
         Client of the plain service.
     clock
@@ -112,8 +114,8 @@
     limits
         Limits of the executor.
     checks_fencing
-        Whether the service itself refuses old fencing tokens; where it does
-        not, the executor does.
+        Whether the service itself refuses old fencing tokens. If not, the
+        executor refuses them.
     """
 
     def __init__(
@@ -143,26 +145,26 @@
 
     @property
     def running(self) -> int:
-        """Number of calls under way."""
+        """Number of calls in flight."""
         return len(self._tasks)
 
     def set_draining(self, draining: bool) -> None:
-        """Turn new calls away, or take them again."""
+        """Set whether new calls are declined because the agent drains."""
         self.is_draining = draining
 
     async def finish(self) -> None:
-        """Wait until no call is under way."""
+        """Wait until no call is in flight."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     async def close(self) -> None:
-        """Abandon the calls under way and close the client."""
+        """Cancel all calls in flight and close the client."""
         for task in tuple(self._tasks):
             task.cancel()
         await self._client.close()
 
     def on_message(self, envelope: Envelope) -> bool:
-        """Handle a message; return whether it was one about calls."""
+        """Handle a message; return whether it concerns calls."""
         match envelope.message:
             case CallOffer() as offer:
                 self._answer_offer(envelope.sender, offer)
@@ -242,9 +244,9 @@
 
     def _revoke(self, sender: str, revoke: Revoke) -> None:
         call_id = (revoke.generation, revoke.attempt)
-        never = self._book.close(*call_id)
+        is_unsent = self._book.close(*call_id)
         reply = self._replies.get(*call_id)
-        if not never and reply is not None:
+        if not is_unsent and reply is not None:
             self._transport.send(sender, reply)
             return
         listeners = self._listeners_by_call.get(call_id)
@@ -252,7 +254,7 @@
             listeners.append(sender)
         self._transport.send(
             sender,
-            Revoked(*call_id, dispatched=not never),
+            Revoked(*call_id, dispatched=not is_unsent),
         )
 
     def _start(self, sender: str, dispatch: CallDispatch) -> None:
@@ -291,24 +293,24 @@
         )
 
     def _request_of(self, dispatch: CallDispatch) -> ServiceRequest:
-        own = [(KEY_HEADER, dispatch.key)] if dispatch.key else []
+        added = [(KEY_HEADER, dispatch.key)] if dispatch.key else []
         if dispatch.fence:
-            own.append((FENCE_HEADER, str(dispatch.fence)))
-        replaced = {KEY_HEADER.lower(), FENCE_HEADER.lower()}
-        kept = [
-            (name, text)
-            for name, text in dispatch.headers
-            if name.lower() not in replaced
+            added.append((FENCE_HEADER, str(dispatch.fence)))
+        replaced_names = {KEY_HEADER.lower(), FENCE_HEADER.lower()}
+        forwarded = [
+            (name, header_value)
+            for name, header_value in dispatch.headers
+            if name.lower() not in replaced_names
         ]
-        limit_ms = dispatch.remaining_ms
+        timeout_ms = dispatch.remaining_ms
         if dispatch.incarnation:
-            limit_ms = self.limits.answer_limit_ms
+            timeout_ms = self.limits.answer_limit_ms
         return ServiceRequest(
             dispatch.method,
             dispatch.path,
-            (*kept, *own),
+            (*forwarded, *added),
             dispatch.body,
-            limit_ms,
+            timeout_ms,
         )
 
 
--- a/bergamotthread/process/calls/call_limits.py
+++ b/bergamotthread/process/calls/call_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the calls of one entry."""
+"""Limits of one entry for its calls."""
 
 from __future__ import annotations
 
@@ -7,33 +7,38 @@
 
 @dataclass(frozen=True)
 class CallLimits:
-    """Times and sizes of calls.
+    """Time and size limits of calls.
 
     Parameters
     ----------
     lease_margin_ms
-        Time that others leave a row alone beyond the call's timeout.
+        Time added to the call's timeout for the lease of its row. Others do
+        not take the row over before the lease ends.
     store_wait_ms
-        Time for which the store may fail before a request is given up.
+        Time for which store operations are retried before a request fails.
     settle_ms
-        Time after the caller's answer in which the row is brought up to date.
+        Time after the caller was answered in which the final state is written
+        to the row.
     park_ms
-        Time for which a late answer is awaited after that.
+        Further time for which a late answer is awaited.
     offer_ms
-        Time that an agent has to answer an offer.
+        Timeout for an agent's reply to an offer.
     ask_ms
-        Time that an agent has to tell the outcome of a call.
+        Timeout for an agent's reply about the outcome of a call.
     poll_ms, poll_max_ms
-        First and longest pause between two reads of a row held by another.
+        First and longest interval between reads of a row that another request
+        holds.
     inline_bytes
-        Largest answer that is kept in the row.
+        Maximum size of an answer that is stored in the row.
     result_bytes
-        Largest answer that is kept at all, in the object store.
+        Maximum size of an answer that is stored in the object store. Larger
+        ones are not stored.
     held_bytes
-        Large answers that wait for the object store, all together; an answer
-        beyond that reaches its caller but is not kept.
+        Maximum total size of large answers that wait for the object store. An
+        answer above it is delivered to the caller but not stored.
     concurrent
-        Guarded calls under way at once, those waiting for late answers too.
+        Maximum number of guarded calls in flight, including those that wait
+        for a late answer.
     """
 
     lease_margin_ms: int = 5000
--- a/bergamotthread/process/calls/call_mailboxes.py
+++ b/bergamotthread/process/calls/call_mailboxes.py
@@ -1,4 +1,4 @@
-"""Delivery of agents' messages to the requests that wait for them."""
+"""Delivery of messages from agents to the requests that wait for them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 
 class CallMailboxes:
-    """Mailboxes by call and ticket; several requests may wait for one."""
+    """Mailboxes by call and ticket.
+
+    Several requests may wait for the same call and ticket; each has its own
+    mailbox. Replies to offers use `OFFER_TICKET`.
+    """
 
     def __init__(self) -> None:
         self._mailboxes_by_call: dict[tuple[str, int], list[Mailbox]] = {}
@@ -40,7 +44,7 @@
 
     @contextmanager
     def opened(self, call: str, ticket: int) -> Iterator[Mailbox]:
-        """Open a mailbox and remove it at the end of the block."""
+        """Open a mailbox for the duration of a ``with`` block."""
         mailbox = self.open(call, ticket)
         try:
             yield mailbox
@@ -48,7 +52,11 @@
             self.close(call, ticket, mailbox)
 
     def deliver(self, envelope: Envelope) -> bool:
-        """Hand a message on; return whether it was one about calls."""
+        """Deliver a message; return whether it concerns calls.
+
+        A `Revoked` may also concern a generation, so it counts only if a
+        request waits for it.
+        """
         match envelope.message:
             case CallOfferReply(call=call):
                 self._put((call, OFFER_TICKET), envelope)
--- a/bergamotthread/process/calls/call_operations.py
+++ b/bergamotthread/process/calls/call_operations.py
@@ -1,4 +1,4 @@
-"""What operators do about calls whose outcome is unknown."""
+"""Operations for operators on calls whose outcome is unknown."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class AuditSink(Protocol):
-    """Takes what the audit trail must show."""
+    """Receiver of records for the audit trail."""
 
     async def append(
         self,
@@ -43,10 +43,10 @@
         detail: dict[str, str],
         who: str,
     ) -> bool:
-        """Take in a record; False where it was dropped."""
+        """Queue a record; return False if it was dropped."""
 
     async def flush(self) -> None:
-        """Return once all records are stored."""
+        """Wait until all queued records are stored."""
 
 
 class ResolveError(BergamotError):
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class CallName:
-    """Service, team and idempotency key that together name a call."""
+    """Name of a call: service, team and idempotency key."""
 
     service: str
     team: str
@@ -63,7 +63,7 @@
 
     @classmethod
     def from_row_key(cls, key: str) -> CallName:
-        """Take the name out of the key of a row."""
+        """Parse the name from the key of a row."""
         _, _, *parts = key.split('/')
         service, team, idempotency_key = [unquote(part) for part in parts]
         return cls(service, team, idempotency_key)
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class CallRecord:
-    """A call as the table has it."""
+    """Call with the row and revision that the table holds."""
 
     name: CallName
     row: CallRow
@@ -94,7 +94,10 @@
 
 @dataclass(frozen=True)
 class Resolution:
-    """What an operator found out about a call."""
+    """Outcome of a call as an operator determined it.
+
+    `who` is the operator, `note` the evidence.
+    """
 
     ran: bool
     who: str
@@ -102,12 +105,15 @@
 
 
 def state_name(row: CallRow) -> str:
-    """Return the name of a row's state in lower case."""
+    """Return the lower-case name of a row's state."""
     return type(row.state).__name__.lower()
 
 
 async def list_unknown(table: Table, *, limit: int) -> tuple[CallRecord, ...]:
-    """Return calls of unknown outcome; index rows of others are deleted."""
+    """Return the calls with an unknown outcome.
+
+    Index rows of calls that are settled or no longer exist are deleted.
+    """
     records: list[CallRecord] = []
     for index in await table.scan(UNKNOWN_PREFIX, limit=limit):
         key = CALL_PREFIX + index.key.removeprefix(UNKNOWN_PREFIX)
@@ -121,7 +127,7 @@
 
 
 async def show_call(table: Table, name: CallName) -> CallRecord | None:
-    """Return a call, or None where the key is not known."""
+    """Return a call, None if the table has no row for its name."""
     row = await table.read(name.row_key)
     return CallRecord.from_row(row) if row else None
 
@@ -133,26 +139,32 @@
     name: CallName,
     resolution: Resolution,
 ) -> CallRecord:
-    """Record what an operator found out; the key is closed from then on.
+    """Resolve an unknown call with the outcome that an operator determined.
 
-    The audit record is stored first, so that there is no resolution without
-    one.
+    From then on no request with its key runs the call. The audit record is
+    stored first, so that every resolution has one.
 
     Raises
     ------
     ResolveError
-        If the call is not known or its outcome not unknown.
+        If the call does not exist, its outcome is not unknown, or the audit
+        trail is full.
     StoreUnavailableError
-        If the store did not say whether the row was written.
+        If it is not certain whether the row was written.
     """
     record = await _read_known(table, name)
     resolved = Resolved(resolution.ran, resolution.who, resolution.note)
     row = _resolved_row(record, resolved, clock)
     detail = {'ran': str(resolved.ran).lower(), 'note': resolved.note}
-    taken = await audit.append(RESOLVE_KIND, str(name), detail, resolved.who)
+    is_queued = await audit.append(
+        RESOLVE_KIND, str(name), detail, resolved.who
+    )
     await audit.flush()
-    if not taken:
-        raise ResolveError('the audit trail is full', step=Step.RECORD)
+    if not is_queued:
+        raise ResolveError(
+            'the audit trail is full; nothing was resolved',
+            step=Step.RECORD,
+        )
     for _ in range(WRITES_MAX):
         if await _write(table, name, row, record.revision):
             await _forget_index(table, name)
@@ -162,7 +174,8 @@
             return record
         row = _resolved_row(record, resolved, clock)
     raise StoreUnavailableError(
-        f'no answer whether {name} is resolved; show it before trying again',
+        f'the store did not confirm that {name} is resolved; show the call'
+        ' before retrying',
         step=Step.RECORD,
     )
 
@@ -186,8 +199,8 @@
     row = resolve(record.row, resolved, clock.calendar_ms())
     if row is None:
         raise ResolveError(
-            f'{record.name} is {state_name(record.row)}; only calls that are '
-            'unknown are resolved',
+            f'{record.name} is {state_name(record.row)}; only unknown calls '
+            'can be resolved',
             step=Step.RECORD,
         )
     return row
--- a/bergamotthread/process/calls/call_runner.py
+++ b/bergamotthread/process/calls/call_runner.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, as an entry runs them."""
+"""Entry side of calls to plain services."""
 
 from __future__ import annotations
 
@@ -29,12 +29,15 @@
 
 
 class CallRunner:
-    """Runs calls: idempotent ones with retries, others at most once.
+    """Runs idempotent calls with retries and all others at most once.
+
+    A call that runs at most once is a guarded call: its state is kept in a
+    row of the table.
 
     Parameters
     ----------
     table, object_store
-        Where the rows of guarded calls and their large answers are kept.
+        Stores for the rows of guarded calls and for their large answers.
     transport
         Transport of the entry.
     clock
@@ -69,12 +72,12 @@
 
     @property
     def running(self) -> int:
-        """Number of guarded calls whose rows are not yet settled."""
+        """Number of guarded calls whose rows are not settled yet."""
         return len(self._call_by_task)
 
     @property
     def unanswered(self) -> int:
-        """Number of guarded calls whose callers still wait."""
+        """Number of guarded calls whose callers have no answer yet."""
         calls = self._call_by_task.values()
         return sum(not call.answer.done() for call in calls)
 
@@ -84,7 +87,7 @@
         Raises
         ------
         RefusedError
-            If there is no answer; the refusal says whether the call ran.
+            If there is no answer. Its refusal states whether the call ran.
         """
         self._sequence += 1
         transport = self._transport
@@ -99,11 +102,11 @@
         return await asyncio.shield(call.answer)
 
     def on_message(self, envelope: Envelope) -> bool:
-        """Handle a message; return whether it was one about calls."""
+        """Handle a message; return whether it concerns calls."""
         return self._mailboxes.deliver(envelope)
 
     def on_agent_lost(self, agent: str) -> None:
-        """End the waits for calls at an agent whose process has ended."""
+        """Stop waiting for calls at an agent whose process has ended."""
         for call in self._call_by_task.values():
             call.agents.lose(agent)
 
@@ -113,7 +116,7 @@
             await asyncio.wait(self._call_by_task)
 
     def close(self) -> None:
-        """Abandon all calls, as the end of the process does."""
+        """Cancel all calls, which has the same effect as the process's end."""
         for task in tuple(self._call_by_task):
             task.cancel()
 
@@ -172,8 +175,8 @@
             raise refuse_call(
                 request,
                 ReasonCode.BAD_REQUEST,
-                f'an Idempotency-Key of 1 to {KEY_CHARACTERS_MAX} characters '
-                f'is expected, not one of {len(request.key)}',
+                'expected an Idempotency-Key of 1 to '
+                f'{KEY_CHARACTERS_MAX} characters, got {len(request.key)}',
                 step=Step.CHECK,
                 ran=Ran.NOT_RUN,
                 retry_after_ms=0,
@@ -182,7 +185,8 @@
             raise refuse_call(
                 request,
                 ReasonCode.OVERLOADED,
-                f'{self.running} guarded calls are under way',
+                f'{self.running} guarded calls are in flight, which is the '
+                'limit of the entry',
                 step=Step.ADMIT,
                 ran=Ran.NOT_RUN if request.first_send else Ran.MAYBE,
             )
--- a/bergamotthread/process/calls/service_agent.py
+++ b/bergamotthread/process/calls/service_agent.py
@@ -1,4 +1,4 @@
-"""The agent beside a plain service: guard of its calls."""
+"""Agent of a plain service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ServiceAgent:
-    """Sends calls to one plain service, each attempt at most once."""
+    """Runs next to a plain service and sends each call attempt at most once."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
             await self.executor.close()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message from an entry."""
+        """Handle a message from an entry."""
         match envelope.message:
             case DrainNotice() as notice:
                 self.drain.apply_notice(notice)
@@ -53,16 +53,16 @@
                 self.executor.on_message(envelope)
 
     def held_by(self) -> tuple[str, ...]:
-        """Return what has to end before the host is safe to stop."""
+        """Return the work that must end before the host is safe to stop."""
         if self.executor.running:
             return (f'{self.executor.running} calls',)
         return ()
 
     def apply_version(self, published: PublishedVersion) -> None:
-        """Take the stops of a published version."""
+        """Apply the planned stops of a published version."""
         self.drain.apply_stops(published.object_set.stops)
 
     def refresh_drain(self) -> None:
-        """Put the newest announcements of a drain in force."""
+        """Apply the current drain announcements to the executor."""
         self.executor.set_draining(not self.drain.may_dispatch())
         self.drain.refresh(self.executor.running)
--- a/bergamotthread/process/calls/service_calls.py
+++ b/bergamotthread/process/calls/service_calls.py
@@ -1,4 +1,4 @@
-"""Leads calls of plain services to their rule and their upstreams."""
+"""Routing of calls to plain services: their rule and their upstreams."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True)
 class ServiceRequestParts:
-    """A caller's request as it arrived; `path` starts with a slash.
+    """Caller's request as received; `path` starts with a slash.
 
-    `first_send` is the caller's word that it never sent the key before.
+    With `first_send` the caller states that it never sent the key before.
     """
 
     team: str
@@ -55,13 +55,13 @@
     published: PublishedVersion,
     region: str,
 ) -> CallRequest:
-    """Return the call that a request asks for.
+    """Return the call for a caller's request.
 
     Raises
     ------
     RefusedError
-        If the service or an upstream is missing, or a call that may
-        not be repeated comes without an idempotency key.
+        If the service does not exist, is not open to the team or has no
+        upstream, or if a call that is not idempotent has no idempotency key.
     """
     service = _find_service(parts, published)
     rule = rule_of(service, parts.method, parts.path)
@@ -69,14 +69,14 @@
     if not agents:
         raise _refused(
             ReasonCode.NO_UPSTREAM,
-            f'no upstream serves {service.name!r}',
+            f'no upstream is configured for service {service.name!r}',
             published,
         )
     if not rule.idempotent and not parts.key:
         raise _refused(
             ReasonCode.BAD_REQUEST,
-            f'{parts.method} {parts.path} needs an Idempotency-Key header, '
-            'since it runs at most once',
+            f'{parts.method} {parts.path} requires an Idempotency-Key header, '
+            'because the call is not idempotent and runs at most once',
             published,
         )
     query = f'?{parts.query}' if parts.query else ''
@@ -111,14 +111,15 @@
         valid = ', '.join(sorted(plain)) or 'none'
         raise _refused(
             ReasonCode.NOT_FOUND,
-            f'no plain service {parts.service!r}, valid ones: {valid}',
+            f'no plain service is named {parts.service!r}; '
+            f'valid names: {valid}',
             published,
         )
     if _is_open(service, parts.team, published):
         return service
     raise _refused(
         ReasonCode.FORBIDDEN,
-        f'no route opens {parts.service!r} to team {parts.team!r}',
+        f'no route to service {parts.service!r} is open to team {parts.team!r}',
         published,
     )
 
@@ -140,23 +141,27 @@
     published: PublishedVersion,
     region: str,
 ) -> tuple[str, ...]:
-    """Return the agents of a service, those of the own region first."""
+    """Return the agents of a service, those of `region` first."""
     serving = [
         upstream
         for upstream in published.object_set.upstreams
         if upstream.service == service.name
     ]
-    local = [one for one in serving if published.region_of(one) == region]
-    remote = [one for one in serving if one not in local]
-    return tuple(one.agent for one in (*local, *remote))
+    local = [
+        upstream
+        for upstream in serving
+        if published.region_of(upstream) == region
+    ]
+    remote = [upstream for upstream in serving if upstream not in local]
+    return tuple(upstream.agent for upstream in (*local, *remote))
 
 
 def _forwarded(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
-        (name, text)
-        for name, text in headers
+        (name, header_value)
+        for name, header_value in headers
         if name.lower() not in _HOP_HEADERS
     )
 
--- a/bergamotthread/process/calls/ticket_book.py
+++ b/bergamotthread/process/calls/ticket_book.py
@@ -1,4 +1,4 @@
-"""Tickets by which an agent keeps its word that it never sends a call."""
+"""Tickets with which an agent can guarantee that a call was never sent."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class TicketState(enum.Enum):
-    """What became of a ticket."""
+    """State of a ticket.
+
+    `OPEN` permits one sending, `USED` means that the call was sent, `CLOSED`
+    that it was not and will not be.
+    """
 
     OPEN = 'open'
     USED = 'used'
@@ -17,18 +21,18 @@
 
 @dataclass
 class TicketBook:
-    """Tickets of one agent process, each good for one sending of one call.
+    """Tickets of one agent process; each permits sending one call once.
 
-    A call is sent only on an open ticket, and a ticket opens only when it is
-    issued. So a ticket that was closed, forgotten or issued by an earlier
-    process never sends anything again, however late its call arrives.
+    A call is sent only with an open ticket, and only `issue` opens tickets. A
+    ticket that was closed, evicted or issued by an earlier process therefore
+    never permits a sending, no matter how late its call arrives.
 
     Parameters
     ----------
     capacity
-        Tickets that are remembered; the oldest is forgotten first.
+        Maximum number of tickets kept; the oldest is evicted first.
     issued
-        Number of the last ticket.
+        Number of the last ticket issued.
     """
 
     capacity: int = 10_000
@@ -46,26 +50,30 @@
         return self.issued
 
     def use(self, call: str, ticket: int) -> bool:
-        """Return whether the call may be sent now; the ticket is then used."""
+        """Mark an open ticket as used; return whether the call may be sent."""
         if self._entries.get((call, ticket)) is not TicketState.OPEN:
             return False
         self._entries[(call, ticket)] = TicketState.USED
         return True
 
     def close(self, call: str, ticket: int) -> bool:
-        """Close a ticket; return whether it certainly never sent anything."""
+        """Close a ticket unless used; return whether its call is unsent.
+
+        The result is False for a ticket that is not known, since its call may
+        have been sent.
+        """
         state = self._entries.get((call, ticket))
         if state is TicketState.OPEN:
             self._entries[(call, ticket)] = TicketState.CLOSED
         return state in {TicketState.OPEN, TicketState.CLOSED}
 
     def close_unsent(self, call: str, ticket: int) -> None:
-        """Close a used ticket whose call did not reach the upstream."""
+        """Close a used ticket because its call did not reach the upstream."""
         if self._entries.get((call, ticket)) is TicketState.USED:
             self._entries[(call, ticket)] = TicketState.CLOSED
 
     def snapshot(self) -> tuple[tuple[str, int, TicketState], ...]:
-        """Return all remembered tickets, oldest first."""
+        """Return all tickets kept, oldest first."""
         return tuple(
             (call, ticket, state)
             for (call, ticket), state in self._entries.items()
@@ -75,6 +83,6 @@
         self,
         tickets: tuple[tuple[str, int, TicketState], ...],
     ) -> None:
-        """Remember the tickets of a snapshot."""
+        """Add the tickets of a snapshot."""
         for call, ticket, state in tickets:
             self._entries[(call, ticket)] = state
