--- a/bergamotthread/process/drain/__init__.py
+++ b/bergamotthread/process/drain/__init__.py
@@ -1,1 +1,1 @@
-"""Planned stops: who may stop when, and what still holds a process."""
+"""Planned stops of hosts: their schedule, and drains of processes."""
--- a/bergamotthread/process/drain/drain_plan.py
+++ b/bergamotthread/process/drain/drain_plan.py
@@ -1,4 +1,4 @@
-"""Schedule of planned stops within limits per failure domain and model."""
+"""Scheduling of planned stops within limits per failure domain and model."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class DrainPlanError(BergamotError):
-    """A stop can't be planned, such as one of an unknown address."""
+    """A stop can't be planned, for example of an unknown address."""
 
 
 @dataclass(frozen=True)
 class DrainLimits:
-    """How many hosts may be stopped at the same time.
+    """Limits on the hosts that are stopped at the same time.
 
     Parameters
     ----------
     per_failure_domain
-        Most hosts of one failure domain.
+        Maximum number of hosts of one failure domain.
     model_percent
-        Most upstreams of one model, in percent of all that run it; one is
-        always allowed.
+        Maximum number of upstreams of one model, in percent of all upstreams
+        that run it. One is always allowed.
     lead_ms
-        Time from now to the first start, so that the stops are in force
-        everywhere by then.
+        Time from now to the first start. It has to be long enough for the
+        published stops to reach all processes.
     duration_ms
         Time from the start of a stop to its deadline.
     """
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class StopTarget:
-    """Host to stop, with what its stop takes away for a while."""
+    """Host to stop, with its failure domain and the models it runs."""
 
     address: str
     failure_domain: str
@@ -55,19 +55,19 @@
 
 @dataclass(frozen=True)
 class DrainPlan:
-    """Planned stops in the order of their start."""
+    """Planned stops, ordered by start time."""
 
     stops: tuple[Stop, ...]
 
     @property
     def end_ms(self) -> int:
-        """Return the last deadline, in milliseconds since the Unix epoch."""
+        """Latest deadline, in milliseconds since the Unix epoch."""
         return max((stop.deadline_ms for stop in self.stops), default=0)
 
 
 @dataclass
 class _Slots:
-    """Use of consecutive time slots, each as long as a stop."""
+    """Occupancy of consecutive time slots, each as long as one stop."""
 
     limits: DrainLimits
     limit_by_model: dict[str, int]
@@ -119,12 +119,13 @@
     hosts: Iterable[HostEntry],
     addresses: Sequence[str],
 ) -> tuple[StopTarget, ...]:
-    """Return the hosts to stop with their failure domain and models.
+    """Return the hosts at `addresses` with their failure domain and models.
 
     Raises
     ------
     DrainPlanError
-        If an address is neither a published upstream's nor a listed host's.
+        If an address is neither the agent of a published upstream nor in the
+        host list.
     """
     domain_by_address = {host.address: host.failure_domain for host in hosts}
     targets = []
@@ -132,8 +133,8 @@
         target = _target(version, domain_by_address, address)
         if target is None:
             raise DrainPlanError(
-                f'unknown address {address!r}, expected the agent of a '
-                'published upstream or a host of the platform list',
+                f'unknown address {address!r}; expected the agent of a '
+                "published upstream or a host of the platform's host list",
                 step=Step.DRAIN,
                 peer=address,
             )
@@ -161,10 +162,15 @@
     calendar_ms: int,
     reason: str = '',
 ) -> DrainPlan:
-    """Return stops for `targets` that respect the limits.
+    """Return stops for `targets` that stay within the limits.
 
-    Stops that the version already holds count, and their hosts aren't
-    planned twice. Each target takes the first slot that has room for it.
+    Stops in the published version count towards the limits, and their hosts
+    are not planned again. Each target gets the first slot with room for it.
+
+    Parameters
+    ----------
+    calendar_ms
+        Current time, in milliseconds since the Unix epoch.
 
     Raises
     ------
@@ -189,7 +195,8 @@
     for name in ('per_failure_domain', 'duration_ms'):
         if getattr(limits, name) <= 0:
             raise DrainPlanError(
-                f'{name} is {getattr(limits, name)}, expected at least 1',
+                f'drain limit {name} is {getattr(limits, name)}; expected at '
+                'least 1',
                 step=Step.DRAIN,
             )
 
--- a/bergamotthread/process/drain/drain_report.py
+++ b/bergamotthread/process/drain/drain_report.py
@@ -1,4 +1,4 @@
-"""Reports of drains in the platform's table, for operators."""
+"""Reports about drains in the platform's table, for operators."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 class DrainReport(msgspec.Struct, frozen=True):
-    """What one draining process last said of itself.
+    """Latest report of a process about its drain.
 
-    `held_by` names what keeps the host from being stopped, such as
-    ``generations: 3``; `updated_ms` is in milliseconds since the Unix epoch.
+    `held_by` names the work that must end before the host can be stopped, for
+    example ``generations: 3``; `updated_ms` is in milliseconds since the Unix
+    epoch.
     """
 
     address: str
@@ -35,7 +36,7 @@
 
 
 class DrainVerdict(msgspec.Struct, frozen=True):
-    """Whether a host is safe to stop, and why not."""
+    """Whether a host is safe to stop, and the reasons if it is not."""
 
     address: str
     safe: bool
@@ -43,7 +44,10 @@
 
 
 class DrainReporter:
-    """Writes the report of one process at each change and every ten seconds.
+    """Writes the drain report of one process.
+
+    A report is written when the phase changes and, during a drain, every
+    `REPORT_INTERVAL_MS`.
 
     Parameters
     ----------
@@ -73,10 +77,11 @@
         phase: DrainPhase,
         held_by: tuple[str, ...],
     ) -> bool:
-        """Write a report if it is due; return whether one was due and kept.
+        """Write a report if one is due; return whether it was accepted.
 
-        A store outage is no error: the next call writes it. A process that
-        starts replaces what an earlier one at its address left behind.
+        If the store is unavailable, the report remains due for the next call.
+        A process that starts replaces the report of an earlier process at its
+        address.
         """
         report = DrainReport(
             address=self._address,
@@ -106,10 +111,10 @@
     async def _write(self, report: DrainReport) -> bool:
         key = KEY_PREFIX + self._address
         row = await self._table.read(key)
-        known = decode_report(row) if row else None
-        if known is None and report.phase is DrainPhase.SERVING:
+        existing = decode_report(row) if row else None
+        if existing is None and report.phase is DrainPhase.SERVING:
             return True
-        if known is not None and known.incarnation > self._incarnation:
+        if existing is not None and existing.incarnation > self._incarnation:
             return False
         revision = row.revision if row else 0
         body = msgspec.json.encode(report)
@@ -121,7 +126,7 @@
 
 
 def decode_report(row: Row) -> DrainReport | None:
-    """Return the report in a row, or None where it can't be read."""
+    """Return the report in a row, None if it can't be decoded."""
     try:
         return msgspec.json.decode(row.body, type=DrainReport)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -139,7 +144,7 @@
         try:
             row = await table.read(KEY_PREFIX + address)
         except BergamotError as error:
-            reasons = (f'not known: {error}',)
+            reasons = (f'not known, report could not be read: {error}',)
             verdicts.append(DrainVerdict(address, safe=False, reasons=reasons))
             continue
         report = decode_report(row) if row else None
@@ -154,7 +159,7 @@
 ) -> DrainVerdict:
     """Return whether a report shows that its host is safe to stop."""
     if report is None:
-        return DrainVerdict(address, safe=False, reasons=('no report yet',))
+        return DrainVerdict(address, safe=False, reasons=('no drain report',))
     age_ms = calendar_ms - report.updated_ms
     reasons = []
     if abs(age_ms) > FRESH_MS:
--- a/bergamotthread/process/drain/drain_runner.py
+++ b/bergamotthread/process/drain/drain_runner.py
@@ -1,4 +1,4 @@
-"""Leads a process through its drain and reports how far it is."""
+"""Runs the drain of a process and reports its progress."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
     state
         Announcements and phase of the drain.
     reporter
-        Writes reports for `drain status`; None without the platform.
+        Writes reports for `drain status`; None if there is no platform.
     held_by
-        Returns what still holds the process, in words.
+        Returns descriptions of the work that must end before the host can be
+        stopped.
     refresh
-        Puts the announcements in force; called at each interval.
+        Applies the announcements; called at each interval.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
             await self._clock.sleep_ms(REFRESH_INTERVAL_MS)
 
     async def step(self) -> None:
-        """Refresh once, and report if a report is due."""
+        """Refresh once and write a report if one is due."""
         self._refresh()
         held_by = self._held_by()
         phase = self._state.refresh(len(held_by))
@@ -57,7 +58,7 @@
             await self._reporter.report(phase, held_by)
 
     async def until_drained(self) -> None:
-        """Drain as after a signal and return when nothing is left."""
+        """Start a drain as for a signal and wait until no work is left."""
         self._state.apply_signal()
         while self._state.phase is not DrainPhase.DRAINED:
             await self.step()
--- a/bergamotthread/process/drain/drain_state.py
+++ b/bergamotthread/process/drain/drain_state.py
@@ -1,4 +1,4 @@
-"""Drain of one process: who announced it, from when, and what holds it."""
+"""State of the drain of one process: announcements, phase and deadline."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 class DrainPhase(enum.StrEnum):
     """Phase of a process between normal work and its end.
 
-    `STOPPING` begins where the deadline is so near that the work left has to
-    be handed over; in `DRAINED` nothing is left and the host is safe to stop.
+    In `STOPPING` the deadline is so close that the remaining work is handed
+    over. In `DRAINED` no work remains and the host is safe to stop.
     """
 
     SERVING = 'serving'
@@ -30,7 +30,7 @@
 
 
 class DrainSource(enum.StrEnum):
-    """Way in which a drain was announced."""
+    """Source that announced a drain."""
 
     SIGNAL = 'signal'
     PUBLISHED = 'published'
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class DrainAnnouncement:
-    """Drain announced by one source, in the process's monotonic time."""
+    """Drain announced by one source; times are in monotonic time."""
 
     source: DrainSource
     start_ms: float
@@ -64,22 +64,22 @@
 
 
 class DrainState:
-    """Life cycle of a drain, from any of its sources.
+    """State machine of a drain that any of several sources may announce.
 
-    Whether new work may start is decided by `may_dispatch` from the
-    announcements and the clock alone, so it needs neither the platform nor a
-    timer. `refresh` moves the phase and is called on changes and periodically.
+    `may_dispatch` decides from the announcements and the clock alone whether
+    new work may start, so it depends neither on the platform nor on a timer.
+    `refresh` updates the phase; it is called on changes and periodically.
 
     Parameters
     ----------
     clock
         Clock of the process.
     address
-        Address of the process, as stops and the host list name it.
+        Address of the process in stops and in the host list.
     listener
-        Called with each phase that is entered.
+        Called with each phase when it is entered.
     hand_over_margin_ms
-        Time before the deadline at which work left is handed over.
+        Time before the deadline at which remaining work is handed over.
     """
 
     def __init__(
@@ -101,23 +101,23 @@
             model_attribute='state',
             states=[phase.value for phase in DrainPhase],
             initial=_SERVING,
-            transitions=[list(one) for one in _TRANSITIONS],
+            transitions=[list(transition) for transition in _TRANSITIONS],
             auto_transitions=False,
             after_state_change='notify',
         )
 
     @property
     def phase(self) -> DrainPhase:
-        """Return the phase as of the last `refresh`."""
+        """Phase as of the last `refresh`."""
         return DrainPhase(self.state)
 
     @property
     def announcements(self) -> tuple[DrainAnnouncement, ...]:
-        """Return the announcements, also those whose start lies ahead."""
+        """Announcements, including those that start in the future."""
         return tuple(self._announced_by_source.values())
 
     def notify(self) -> None:
-        """Tell the listener which phase was entered."""
+        """Call the listener with the phase that was entered."""
         if self._listener is not None:
             self._listener(self.phase)
 
@@ -126,27 +126,27 @@
         return self._started() is None
 
     def deadline_ms(self) -> float | None:
-        """Return the earliest deadline of the drains that have started."""
+        """Return the earliest deadline of started drains, None without one."""
         started = self._started()
         return None if started is None else started.deadline_ms
 
     def announce(self, announcement: DrainAnnouncement) -> None:
-        """Take in an announcement in place of an earlier one of its source."""
+        """Add an announcement; it replaces an earlier one of its source."""
         self._announced_by_source[announcement.source] = announcement
 
     def withdraw(self, source: DrainSource) -> None:
-        """Drop an announcement; a signal can't be withdrawn."""
+        """Remove the announcement of a source; a signal can't be withdrawn."""
         if source is not DrainSource.SIGNAL:
             self._announced_by_source.pop(source, None)
 
     def apply_signal(self) -> None:
-        """Start a drain because the process was told to end."""
+        """Start a drain because the process received a signal to end."""
         self._announce_now(
             DrainSource.SIGNAL, SIGNAL_DEADLINE_MS, 'signal to end'
         )
 
     def apply_notice(self, notice: DrainNotice) -> None:
-        """Start or stop a drain that another process told."""
+        """Start or withdraw a drain as another process requested."""
         if notice.draining:
             self._announce_now(
                 DrainSource.NOTICE, notice.deadline_ms, notice.reason
@@ -155,9 +155,10 @@
             self.withdraw(DrainSource.NOTICE)
 
     def apply_stops(self, stops: Iterable[Stop]) -> None:
-        """Take in the stops of a published version.
+        """Apply the planned stops of a published version.
 
-        A stop that was over before this process started is not its own.
+        A stop whose deadline passed before this process was created is
+        ignored: it concerned an earlier process.
         """
         own = [
             stop
@@ -169,18 +170,18 @@
             self.withdraw(DrainSource.PUBLISHED)
             return
         first = min(own, key=lambda stop: stop.start_ms)
-        to_monotonic_ms = self._clock.now_ms() - self._clock.calendar_ms()
+        monotonic_offset_ms = self._clock.now_ms() - self._clock.calendar_ms()
         self.announce(
             DrainAnnouncement(
                 source=DrainSource.PUBLISHED,
-                start_ms=first.start_ms + to_monotonic_ms,
-                deadline_ms=first.deadline_ms + to_monotonic_ms,
+                start_ms=first.start_ms + monotonic_offset_ms,
+                deadline_ms=first.deadline_ms + monotonic_offset_ms,
                 reason=first.reason,
             )
         )
 
     def apply_leaving(self, *, leaving: bool) -> None:
-        """Take in what the platform's host list says of the own host."""
+        """Apply whether the platform's host list marks this host as leaving."""
         if leaving:
             self._announce_now(
                 DrainSource.HOST_LIST, SIGNAL_DEADLINE_MS, 'host is leaving'
@@ -189,12 +190,13 @@
             self.withdraw(DrainSource.HOST_LIST)
 
     def refresh(self, work_count: int) -> DrainPhase:
-        """Move to the phase that time and work left call for.
+        """Update the phase from the announcements, the time and the work left.
 
         Parameters
         ----------
         work_count
-            Generations, calls and unfetched outputs that the process holds.
+            Number of work items that the process holds, such as generations,
+            calls and outputs not fetched yet.
         """
         target = self._target(work_count)
         if target is self.phase:
@@ -220,8 +222,8 @@
             return DrainPhase.DRAINED
         if self.phase is DrainPhase.STOPPING:
             return self.phase
-        left_ms = started.deadline_ms - self._clock.now_ms()
-        if left_ms <= self._hand_over_margin_ms:
+        remaining_ms = started.deadline_ms - self._clock.now_ms()
+        if remaining_ms <= self._hand_over_margin_ms:
             return DrainPhase.STOPPING
         return DrainPhase.DRAINING
 
@@ -238,13 +240,13 @@
     def _started(self) -> DrainAnnouncement | None:
         now_ms = self._clock.now_ms()
         started = [
-            one
-            for one in self._announced_by_source.values()
-            if one.start_ms <= now_ms
+            announcement
+            for announcement in self._announced_by_source.values()
+            if announcement.start_ms <= now_ms
         ]
         if not started:
             return None
-        return min(started, key=lambda one: one.deadline_ms)
+        return min(started, key=lambda started_drain: started_drain.deadline_ms)
 
     def _announce_now(
         self,
@@ -252,10 +254,10 @@
         duration_ms: float,
         reason: str,
     ) -> None:
-        known = self._announced_by_source.get(source)
+        current = self._announced_by_source.get(source)
         now_ms = self._clock.now_ms()
-        if known is None or now_ms + duration_ms < known.deadline_ms:
-            start_ms = now_ms if known is None else known.start_ms
+        if current is None or now_ms + duration_ms < current.deadline_ms:
+            start_ms = now_ms if current is None else current.start_ms
             deadline_ms = now_ms + duration_ms
             self.announce(
                 DrainAnnouncement(source, start_ms, deadline_ms, reason)
@@ -266,9 +268,10 @@
     stops: Iterable[Stop],
     calendar_ms: int,
 ) -> frozenset[str]:
-    """Return the addresses whose published stop is in force.
+    """Return the addresses with a published stop in progress.
 
-    Entries send no new work there, also where the agent itself was not told.
+    Entries send no new work to them, even if the agent itself has not learned
+    of the stop.
     """
     return frozenset(
         stop.address
