--- a/tests/test_call_executor.py
+++ b/tests/test_call_executor.py
@@ -1,3 +1,5 @@
+"""Executor of calls: each ticket permits at most one sending."""
+
 import asyncio
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -29,7 +31,7 @@
 
 
 class _Bench:
-    """One executor and an entry that keeps what it receives."""
+    """Executor under test and an entry that records received messages."""
 
     def __init__(self, **limits: Any) -> None:
         self.clock = Clock.from_loop(asyncio.get_running_loop())
@@ -73,7 +75,8 @@
         )
 
 
-async def _ticket_is_good_for_one_sending() -> None:
+async def _ticket_permits_one_sending() -> None:
+    """A dispatch that arrives twice is sent once."""
     bench = _Bench()
     ticket = await bench.ticket()
     reply = await bench.dispatch(ticket)
@@ -83,7 +86,8 @@
     assert bench.service.runs_by_key == {'k': 1}
 
 
-async def _no_ticket_no_sending() -> None:
+async def _nothing_is_sent_without_an_open_ticket() -> None:
+    """The ticket is of another process, or was revoked first."""
     bench = _Bench()
     ticket = await bench.ticket()
     other_process = await bench.dispatch(ticket, incarnation=6)
@@ -94,7 +98,7 @@
     assert bench.service.runs_by_key == {}
 
 
-async def _ticket_expires() -> None:
+async def _expired_ticket_permits_no_sending() -> None:
     bench = _Bench(ticket_lifetime_ms=100)
     ticket = await bench.ticket()
     await bench.clock.sleep_ms(200)
@@ -105,7 +109,7 @@
     )
 
 
-async def _revoke_tells_the_outcome() -> None:
+async def _revoke_returns_the_outcome() -> None:
     bench = _Bench()
     ticket = await bench.ticket()
     running = asyncio.ensure_future(bench.dispatch(ticket))
@@ -119,7 +123,7 @@
     assert unknown == Revoked('d', ticket, True)
 
 
-async def _draining() -> None:
+async def _draining_agent_declines_calls() -> None:
     bench = _Bench()
     ticket = await bench.ticket()
     bench.executor.set_draining(True)
@@ -146,7 +150,7 @@
     assert (await running).outcome is CallStatus.DONE
 
 
-async def _busy() -> None:
+async def _busy_agent_declines_offers() -> None:
     bench = _Bench(concurrent=1)
     tickets = [await bench.ticket(), await bench.ticket()]
     running = asyncio.ensure_future(bench.dispatch(tickets[0]))
@@ -157,7 +161,7 @@
     await bench.received.get()
 
 
-async def _old_fence() -> None:
+async def _old_fencing_token_is_refused_per_team() -> None:
     bench = _Bench()
     tickets = [await bench.ticket() for _ in range(3)]
     assert (await bench.dispatch(tickets[0], fence=2)).status == 200
@@ -170,7 +174,8 @@
     assert other_team.status == 200
 
 
-async def _unreached_service() -> None:
+async def _unreachable_service_counts_as_not_dispatched() -> None:
+    """The ticket is closed, so a second dispatch is not sent either."""
     bench = _Bench()
     bench.service.is_down = True
     ticket = await bench.ticket()
@@ -181,7 +186,7 @@
     assert again.outcome is CallStatus.NOT_DISPATCHED
 
 
-async def _other_messages() -> None:
+async def _other_messages_are_not_handled() -> None:
     bench = _Bench()
     envelope = Envelope('entry', 1, Cancel('g', 1))
     assert not bench.executor.on_message(envelope)
@@ -190,23 +195,24 @@
 @pytest.mark.parametrize(
     'scenario',
     [
-        _ticket_is_good_for_one_sending,
-        _no_ticket_no_sending,
-        _ticket_expires,
-        _revoke_tells_the_outcome,
-        _draining,
+        _ticket_permits_one_sending,
+        _nothing_is_sent_without_an_open_ticket,
+        _expired_ticket_permits_no_sending,
+        _revoke_returns_the_outcome,
+        _draining_agent_declines_calls,
         _drain_waits_for_running_calls,
-        _busy,
-        _old_fence,
-        _unreached_service,
-        _other_messages,
+        _busy_agent_declines_offers,
+        _old_fencing_token_is_refused_per_team,
+        _unreachable_service_counts_as_not_dispatched,
+        _other_messages_are_not_handled,
     ],
 )
 def test_executor(scenario: Callable[[], Awaitable[None]]) -> None:
     run_virtual(scenario())
 
 
-def test_forgotten_ticket_never_sends_and_is_never_denied() -> None:
+def test_evicted_ticket_permits_no_sending_and_is_not_reported_unsent() -> None:
+    """The call of an evicted ticket may have been sent."""
     book = TicketBook(capacity=2)
     first = book.issue('c')
     book.use('c', first)
@@ -216,7 +222,7 @@
     assert not book.close('c', first)
 
 
-def test_reply_cache_is_bounded() -> None:
+def test_reply_cache_stays_within_its_size_limits() -> None:
     cache = ReplyCache(replies=3, reply_bytes=100)
     for ticket in range(5):
         cache.add(CallReply('c', ticket, CallStatus.DONE, body=b'x' * 40))
--- a/tests/test_call_operations.py
+++ b/tests/test_call_operations.py
@@ -1,3 +1,5 @@
+"""Operators resolve calls of unknown outcome; expired call rows are cleaned."""
+
 import asyncio
 import json
 import random
@@ -86,9 +88,9 @@
     records = await read_audit(
         MemoryObjectStore(group.platform), hours_between(0, 3_600_000)
     )
-    assert [(one.kind, one.subject, one.who) for one in records] == [
-        ('resolve_call', 'portal/foundry/k', 'rosa')
-    ]
+    assert [
+        (record.kind, record.subject, record.who) for record in records
+    ] == [('resolve_call', 'portal/foundry/k', 'rosa')]
     with pytest.raises(ResolveError, match='is resolved'):
         await resolve_call(table, _audit(group), group.clock, NAME, resolution)
 
@@ -97,6 +99,7 @@
 def test_resolution_closes_the_key_and_is_audited(
     resolution: Resolution,
 ) -> None:
+    """A retry after the resolution must not run the call."""
     run_virtual(_resolve(resolution))
 
 
@@ -115,7 +118,7 @@
     assert isinstance(group.row().state, Resolved)
 
 
-def test_resolution_survives_a_lost_answer() -> None:
+def test_resolution_survives_a_lost_store_answer() -> None:
     run_virtual(_lost_answer())
 
 
@@ -133,7 +136,7 @@
     assert isinstance(group.row().state, Unknown)
 
 
-def test_nothing_is_resolved_without_its_audit_record() -> None:
+def test_call_is_not_resolved_if_its_audit_record_is_not_stored() -> None:
     run_virtual(_no_audit())
 
 
@@ -180,7 +183,7 @@
     assert group.platform.rows_by_key == {}
 
 
-def test_rows_live_for_the_key_lifetime() -> None:
+def test_cleaner_deletes_rows_only_after_the_key_lifetime() -> None:
     run_virtual(_expired())
 
 
@@ -191,14 +194,15 @@
         await runner.run(group.request(f'k{index}', key_lifetime_ms=1000))
     await group.clock.sleep_ms(5000)
     cleaner = _cleaner(group, digits=0, scan_rows=8, writes=3)
-    before = group.platform.writes
+    writes_before = group.platform.writes
     steps = [await cleaner.step() for _ in range(200)]
     assert max(step.deleted for step in steps) <= 3
     assert max(step.scanned for step in steps) < 8
-    assert group.platform.writes - before == 60
+    assert group.platform.writes - writes_before == 60
 
 
-def test_a_step_stays_within_its_limits() -> None:
+def test_cleaner_step_stays_within_its_limits() -> None:
+    """There are more expired rows than a step may scan or write."""
     run_virtual(_crowded())
 
 
@@ -222,18 +226,20 @@
     assert len(await list_unknown(table, limit=10)) == 1
 
 
-def test_call_of_a_silent_holder_becomes_unknown_and_listed() -> None:
+def test_call_whose_holder_died_is_marked_unknown_and_listed() -> None:
+    """Its entry ends between dispatch and answer."""
     run_virtual(_silent_holder())
 
 
-def test_name_survives_its_row_key() -> None:
+def test_call_name_is_recovered_from_its_row_key() -> None:
+    """Names with slashes must not be confused with each other."""
     name = CallName('a/b', 'tëam', 'k/../ %')
     assert CallName.from_row_key(name.row_key) == name
     assert row_key('a', 'b/c', 'd') != row_key('a/b', 'c', 'd')
 
 
 class _Context:
-    """Context of commands over the platform of a group."""
+    """Context of the command line on the in-memory platform of a group."""
 
     def __init__(self, group: CallGroup) -> None:
         self.group = group
@@ -255,7 +261,9 @@
 
 
 def _invoke(context: _Context, *arguments: str) -> Result:
-    commands = {one.name: one for one in (*calls.COMMANDS, *audit.COMMANDS)}
+    commands = {
+        command.name: command for command in (*calls.COMMANDS, *audit.COMMANDS)
+    }
     return CliRunner(env={'BERGAMOTTHREAD_CREDENTIAL': DAY_SHIFT}).invoke(
         commands[arguments[0]], arguments[1:], obj=context
     )
@@ -272,7 +280,7 @@
     return group
 
 
-def test_commands() -> None:
+def test_operator_commands_list_show_and_resolve_calls() -> None:
     context = _Context(run_virtual(_published()))
     listed = _invoke(context, 'calls', 'list', '--json')
     assert json.loads(listed.output)['name']['key'] == 'k'
@@ -307,5 +315,6 @@
     assert (await _cleaner(group, digits=0).step()).deleted == 1
 
 
-def test_forgotten_reservation_is_deleted() -> None:
+def test_cleaner_deletes_the_reservation_of_a_dead_entry() -> None:
+    """The entry ends before it dispatches the call."""
     run_virtual(_reserved_and_forgotten())
--- a/tests/test_call_runner.py
+++ b/tests/test_call_runner.py
@@ -1,4 +1,7 @@
-"""Faults of guarded calls, for upstreams that check fencing and others."""
+"""Guarded calls run at most once under faults and are refused truthfully.
+
+Each fault is tried with upstreams that check fencing tokens and with others.
+"""
 
 from __future__ import annotations
 
@@ -68,9 +71,10 @@
 
 
 class FaultyTable(Table):
-    """Table that strikes the write of one state of a row.
+    """Table that injects a fault when a row is written in a given state.
 
-    `fault` is awaited with the inner write and returns its row, or raises.
+    `fault` is called with the write of the wrapped table; it returns the
+    written row or raises.
     """
 
     def __init__(self, inner: Table, state: type, fault: Any) -> None:
@@ -98,12 +102,12 @@
         return await self._inner.scan(prefix, limit=limit)
 
 
-def _strike(group: CallGroup, state: type, fault: Any) -> None:
+def _inject_write_fault(group: CallGroup, state: type, fault: Any) -> None:
     inner = group.tables_by_address['entry-1']
     group.start_entry('entry-1', FaultyTable(inner, state, fault))
 
 
-async def _clean_run(group: CallGroup) -> None:
+async def _answer_is_replayed_without_faults(group: CallGroup) -> None:
     answer = await _run(group)
     assert (answer.status, answer.body) == (200, b'k ran 1')
     assert answer.key_lifetime_ms == 86_400_000
@@ -113,26 +117,30 @@
     assert isinstance(group.row().state, Done)
 
 
-async def _key_reused(group: CallGroup) -> None:
+async def _key_with_another_request_is_refused(group: CallGroup) -> None:
     await _run(group)
     answer = await _run(group, body=b'another')
     assert answer.reason is ReasonCode.KEY_REUSED
     assert (await _run(group, team='other', key='o')).status == 200
 
 
-async def _two_entries_at_once(group: CallGroup) -> None:
+async def _concurrent_requests_at_two_entries_run_once(
+    group: CallGroup,
+) -> None:
     group.service.delay_ms = 300
     answers = await asyncio.gather(_run(group), _run(group, 'entry-2'))
-    assert [one.body for one in answers] == [b'k ran 1', b'k ran 1']
+    assert [answer.body for answer in answers] == [b'k ran 1', b'k ran 1']
 
 
-async def _same_entry_at_once(group: CallGroup) -> None:
+async def _concurrent_requests_at_one_entry_run_once(group: CallGroup) -> None:
     group.service.delay_ms = 300
     answers = await asyncio.gather(*(_run(group) for _ in range(5)))
-    assert {one.body for one in answers} == {b'k ran 1'}
+    assert {answer.body for answer in answers} == {b'k ran 1'}
 
 
-async def _still_in_progress(group: CallGroup) -> None:
+async def _retry_during_the_call_is_refused_as_in_progress(
+    group: CallGroup,
+) -> None:
     group.service.delay_ms = 1500
     first = asyncio.ensure_future(_run(group))
     await group.clock.sleep_ms(100)
@@ -142,7 +150,7 @@
     assert (await first).status == 200
 
 
-async def _store_down_before(group: CallGroup) -> None:
+async def _store_down_before_the_call(group: CallGroup) -> None:
     group.platform.faults = PlatformFaults(down=True)
     answer = await _run(group, first_send=True)
     _assert_not_run(group, answer, ReasonCode.STORE_UNAVAILABLE)
@@ -150,7 +158,7 @@
     assert group.clock.now_ms() < 3000
 
 
-async def _store_down_at_resend(group: CallGroup) -> None:
+async def _store_down_at_a_retry(group: CallGroup) -> None:
     await _run(group)
     group.platform.faults = PlatformFaults(down=True)
     answer = await _run(group, 'entry-2')
@@ -158,27 +166,27 @@
     assert answer.ran is Ran.MAYBE
 
 
-async def _store_down_during(group: CallGroup) -> None:
+async def _store_down_before_the_dispatch(group: CallGroup) -> None:
     async def fail(_: Any) -> Row:
         group.platform.faults = PlatformFaults(down=True)
         raise StoreUnavailableError('down', step=None)
 
-    _strike(group, Dispatched, fail)
+    _inject_write_fault(group, Dispatched, fail)
     answer = await _run(group)
     _assert_not_run(group, answer, ReasonCode.STORE_UNAVAILABLE)
 
 
-async def _store_down_after(group: CallGroup) -> None:
+async def _store_loses_the_result(group: CallGroup) -> None:
     async def fail(_: Any) -> Row:
         raise StoreUnavailableError('down', step=None)
 
-    _strike(group, Done, fail)
+    _inject_write_fault(group, Done, fail)
     assert (await _run(group)).status == 200
     again = await _run(group, 'entry-2', remaining_ms=30_000)
     assert again.body == b'k ran 1'
 
 
-async def _store_down_for_a_minute_after(group: CallGroup) -> None:
+async def _store_down_for_a_minute_after_the_dispatch(group: CallGroup) -> None:
     group.service.delay_ms = 100
     first = asyncio.ensure_future(_run(group))
     await group.clock.sleep_ms(50)
@@ -191,12 +199,12 @@
 
 
 def _lose_answers(times: int, effects: bool = True) -> Any:
-    left = [times]
+    remaining = [times]
 
     async def lose(write: Callable[[], Awaitable[Row]]) -> Row:
-        if left[0] == 0:
+        if remaining[0] == 0:
             return await write()
-        left[0] -= 1
+        remaining[0] -= 1
         if effects:
             await write()
         raise StoreUnavailableError('answer lost', step=None)
@@ -208,11 +216,13 @@
 @pytest.mark.parametrize('effects', [False, True])
 @pytest.mark.parametrize('times', [1, 2])
 @pytest.mark.parametrize('state', [Reserved, Dispatched, Done])
-def test_lost_answer_of_each_write(
+def test_call_runs_once_if_the_store_answer_to_a_write_is_lost(
     state: type, times: int, effects: bool, checks_fencing: bool
 ) -> None:
+    """The store loses its answer once or twice, with or without writing."""
+
     async def scenario(group: CallGroup) -> None:
-        _strike(group, state, _lose_answers(times, effects))
+        _inject_write_fault(group, state, _lose_answers(times, effects))
         assert (await _run(group)).body == b'k ran 1'
         await group.clock.sleep_ms(5000)
         assert isinstance(group.row().state, Done)
@@ -222,16 +232,23 @@
 
 @pytest.mark.parametrize('checks_fencing', [False, True])
 @pytest.mark.parametrize('state', [Reserved, Dispatched, Done])
-def test_write_that_lands_late(state: type, checks_fencing: bool) -> None:
+def test_call_runs_once_if_a_write_takes_effect_late(
+    state: type, checks_fencing: bool
+) -> None:
+    """The store reports no answer but writes the row four seconds later."""
+
     async def scenario(group: CallGroup) -> None:
         async def delay(write: Callable[[], Awaitable[Row]]) -> Row:
             asyncio.get_running_loop().call_later(
-                4, lambda: tasks.append(asyncio.ensure_future(_quiet(write)))
+                4,
+                lambda: tasks.append(
+                    asyncio.ensure_future(_write_ignoring_conflict(write))
+                ),
             )
             raise StoreUnavailableError('no answer', step=None)
 
         tasks: list[Any] = []
-        _strike(group, state, delay)
+        _inject_write_fault(group, state, delay)
         answer = await _run(group, first_send=True, remaining_ms=3000)
         if isinstance(answer, Refusal):
             assert answer.ran is Ran.NOT_RUN
@@ -244,7 +261,9 @@
     run_virtual(_with_group(scenario, checks_fencing))
 
 
-async def _quiet(write: Callable[[], Awaitable[Row]]) -> None:
+async def _write_ignoring_conflict(
+    write: Callable[[], Awaitable[Row]],
+) -> None:
     with pytest.raises(Exception, match='revision|answer') as _:
         await write()
         raise StoreUnavailableError('answer', step=None)
@@ -253,9 +272,11 @@
 @pytest.mark.parametrize('checks_fencing', [False, True])
 @pytest.mark.parametrize('before', [True, False])
 @pytest.mark.parametrize('state', [Reserved, Dispatched, Done])
-def test_holder_dies_at_each_write(
+def test_call_runs_once_if_its_holder_dies_at_a_write(
     state: type, before: bool, checks_fencing: bool
 ) -> None:
+    """The entry dies before or after a write; a retry uses another entry."""
+
     async def scenario(group: CallGroup) -> None:
         async def die(write: Callable[[], Awaitable[Row]]) -> Row:
             if not before:
@@ -263,7 +284,7 @@
             group.stop_entry('entry-1')
             raise StoreUnavailableError('dead', step=None)
 
-        _strike(group, state, die)
+        _inject_write_fault(group, state, die)
         first = asyncio.ensure_future(_run(group))
         await group.clock.sleep_ms(3000)
         first.cancel()
@@ -277,9 +298,11 @@
 @pytest.mark.parametrize('checks_fencing', [False, True])
 @pytest.mark.parametrize('before', [True, False])
 @pytest.mark.parametrize('state', [Reserved, Dispatched, Done])
-def test_holder_pauses_past_its_lease_and_goes_on(
+def test_call_runs_once_if_its_holder_pauses_beyond_its_lease(
     state: type, before: bool, checks_fencing: bool
 ) -> None:
+    """The entry pauses, another takes the call over, the first continues."""
+
     async def scenario(group: CallGroup) -> None:
         async def pause(write: Callable[[], Awaitable[Row]]) -> Row:
             if before:
@@ -289,7 +312,7 @@
             await group.clock.sleep_ms(120_000)
             return row
 
-        _strike(group, state, pause)
+        _inject_write_fault(group, state, pause)
         first = asyncio.ensure_future(_run(group, remaining_ms=300_000))
         await group.clock.sleep_ms(3000)
         again = await _run(group, 'entry-2', remaining_ms=60_000)
@@ -325,7 +348,7 @@
     assert isinstance(group.row().state, Unknown)
 
 
-async def _agent_lost_is_told_at_once(group: CallGroup) -> None:
+async def _loss_of_an_agent_ends_the_wait(group: CallGroup) -> None:
     group.service.delay_ms = 1500
     first = asyncio.ensure_future(_run(group))
     await group.clock.sleep_ms(200)
@@ -345,14 +368,14 @@
     assert (await _run(group, 'entry-2')).body == b'k ran 1'
 
 
-async def _answer_dropped(group: CallGroup) -> None:
+async def _upstream_answer_is_lost(group: CallGroup) -> None:
     group.service.dropped_answers = 1
     answer = await _run(group)
     assert answer.reason is ReasonCode.OUTCOME_UNKNOWN
     assert (await _run(group, 'entry-2')).ran is Ran.MAYBE
 
 
-async def _service_down(group: CallGroup) -> None:
+async def _unreachable_service_is_refused_as_not_run(group: CallGroup) -> None:
     group.service.is_down = True
     answer = await _run(group)
     _assert_not_run(group, answer, ReasonCode.NO_UPSTREAM)
@@ -360,19 +383,19 @@
     assert isinstance(group.row().state, Refused)
 
 
-async def _refused_key_may_be_sent_again(group: CallGroup) -> None:
-    await _service_down(group)
+async def _call_that_did_not_run_may_be_retried(group: CallGroup) -> None:
+    await _unreachable_service_is_refused_as_not_run(group)
     group.service.is_down = False
     assert (await _run(group, 'entry-2')).body == b'k ran 1'
 
 
-async def _draining_agent_is_passed_over(group: CallGroup) -> None:
+async def _draining_agent_is_skipped(group: CallGroup) -> None:
     group.executors_by_address['agent-1'].set_draining(True)
     assert (await _run(group)).status == 200
     assert group.row().state.sending.agent == 'agent-2'
 
 
-async def _all_draining(group: CallGroup) -> None:
+async def _all_agents_draining(group: CallGroup) -> None:
     for executor in group.executors_by_address.values():
         executor.set_draining(True)
     answer = await _run(group)
@@ -380,12 +403,12 @@
     assert 'agent-1: draining' in answer.detail
 
 
-async def _drain_between_ticket_and_dispatch(group: CallGroup) -> None:
+async def _agent_drains_between_ticket_and_dispatch(group: CallGroup) -> None:
     async def drain(write: Callable[[], Awaitable[Row]]) -> Row:
         group.executors_by_address['agent-1'].set_draining(True)
         return await write()
 
-    _strike(group, Dispatched, drain)
+    _inject_write_fault(group, Dispatched, drain)
     answer = await _run(group)
     assert answer.ran is Ran.NOT_RUN
     assert 'draining' in answer.detail
@@ -399,13 +422,13 @@
         heal(1, group.network.heal)
         return row
 
-    _strike(group, Dispatched, cut)
+    _inject_write_fault(group, Dispatched, cut)
     answer = await _run(group)
     assert answer.ran is Ran.NOT_RUN
     assert 'revoked before dispatch' in answer.detail
 
 
-async def _dispatch_overtaken_by_revoke(group: CallGroup) -> None:
+async def _revoke_overtakes_its_dispatch(group: CallGroup) -> None:
     async def slow(write: Callable[[], Awaitable[Row]]) -> Row:
         row = await write()
         link = ('entry-1', 'agent-1')
@@ -414,27 +437,29 @@
         asyncio.get_running_loop().call_later(1, reset, link)
         return row
 
-    _strike(group, Dispatched, slow)
+    _inject_write_fault(group, Dispatched, slow)
     answer = await _run(group)
     assert answer.ran is Ran.NOT_RUN
     await group.clock.sleep_ms(120_000)
     assert group.runs() == 0
 
 
-async def _replaced_agent_gets_old_dispatch(group: CallGroup) -> None:
+async def _replaced_agent_does_not_run_an_old_dispatch(
+    group: CallGroup,
+) -> None:
     async def replace(write: Callable[[], Awaitable[Row]]) -> Row:
         row = await write()
         await group.stop_agent('agent-1')
         group.start_agent('agent-1')
         return row
 
-    _strike(group, Dispatched, replace)
+    _inject_write_fault(group, Dispatched, replace)
     answer = await _run(group)
     assert answer.ran is Ran.MAYBE
     assert group.runs() == 0
 
 
-async def _large_answer(group: CallGroup) -> None:
+async def _large_answer_is_stored_and_replayed(group: CallGroup) -> None:
     group.service.answer_bytes = 100_000
     assert len((await _run(group)).body) == 100_000
     again = await _run(group, 'entry-2')
@@ -442,36 +467,36 @@
     assert len(group.platform.bodies_by_name) == 1
 
 
-async def _too_large_answer(group: CallGroup) -> None:
+async def _oversized_answer_is_not_stored(group: CallGroup) -> None:
     group.service.answer_bytes = 5_000_000
     assert len((await _run(group)).body) == 5_000_000
     again = await _run(group, 'entry-2')
     assert (again.reason, again.ran) == (ReasonCode.OUTPUT_LOST, Ran.MAYBE)
 
 
-async def _large_answers_are_bounded(group: CallGroup) -> None:
+async def _memory_for_large_answers_is_limited(group: CallGroup) -> None:
     group.limits = CallLimits(held_bytes=250_000)
     group.start_entry('entry-1')
     group.service.answer_bytes = 100_000
     keys = [f'k{index}' for index in range(3)]
     answers = await asyncio.gather(*(_run(group, key=key) for key in keys))
-    assert [len(one.body) for one in answers] == [100_000] * 3
+    assert [len(answer.body) for answer in answers] == [100_000] * 3
     await group.clock.sleep_ms(1000)
     again = [await _run(group, 'entry-2', key=key) for key in keys]
-    lost = [one for one in again if isinstance(one, Refusal)]
-    assert [one.reason for one in lost] == [ReasonCode.OUTPUT_LOST]
+    refusals = [answer for answer in again if isinstance(answer, Refusal)]
+    assert [refusal.reason for refusal in refusals] == [ReasonCode.OUTPUT_LOST]
     assert (await _run(group, key='later')).status == 200
     await group.clock.sleep_ms(1000)
     assert len((await _run(group, 'entry-2', key='later')).body) == 100_000
 
 
-async def _key_is_checked(group: CallGroup) -> None:
+async def _key_of_invalid_length_is_refused(group: CallGroup) -> None:
     for key in ('', 'x' * 201):
         answer = await _run(group, key=key)
         assert answer.reason is ReasonCode.BAD_REQUEST
 
 
-async def _caller_leaves(group: CallGroup) -> None:
+async def _caller_disconnects(group: CallGroup) -> None:
     group.service.delay_ms = 500
     first = asyncio.ensure_future(_run(group))
     await group.clock.sleep_ms(100)
@@ -484,34 +509,34 @@
 @pytest.mark.parametrize(
     'scenario',
     [
-        _clean_run,
-        _key_reused,
-        _two_entries_at_once,
-        _same_entry_at_once,
-        _still_in_progress,
-        _store_down_before,
-        _store_down_at_resend,
-        _store_down_during,
-        _store_down_after,
-        _store_down_for_a_minute_after,
+        _answer_is_replayed_without_faults,
+        _key_with_another_request_is_refused,
+        _concurrent_requests_at_two_entries_run_once,
+        _concurrent_requests_at_one_entry_run_once,
+        _retry_during_the_call_is_refused_as_in_progress,
+        _store_down_before_the_call,
+        _store_down_at_a_retry,
+        _store_down_before_the_dispatch,
+        _store_loses_the_result,
+        _store_down_for_a_minute_after_the_dispatch,
         _takeover_after_a_long_lease,
         _agent_dies_after_dispatch,
-        _agent_lost_is_told_at_once,
+        _loss_of_an_agent_ends_the_wait,
         _upstream_answers_late,
-        _answer_dropped,
-        _service_down,
-        _refused_key_may_be_sent_again,
-        _draining_agent_is_passed_over,
-        _all_draining,
-        _drain_between_ticket_and_dispatch,
+        _upstream_answer_is_lost,
+        _unreachable_service_is_refused_as_not_run,
+        _call_that_did_not_run_may_be_retried,
+        _draining_agent_is_skipped,
+        _all_agents_draining,
+        _agent_drains_between_ticket_and_dispatch,
         _dispatch_is_lost,
-        _dispatch_overtaken_by_revoke,
-        _replaced_agent_gets_old_dispatch,
-        _large_answer,
-        _too_large_answer,
-        _large_answers_are_bounded,
-        _key_is_checked,
-        _caller_leaves,
+        _revoke_overtakes_its_dispatch,
+        _replaced_agent_does_not_run_an_old_dispatch,
+        _large_answer_is_stored_and_replayed,
+        _oversized_answer_is_not_stored,
+        _memory_for_large_answers_is_limited,
+        _key_of_invalid_length_is_refused,
+        _caller_disconnects,
     ],
 )
 def test_fault(scenario: _Scenario, checks_fencing: bool) -> None:
--- a/tests/test_continuity.py
+++ b/tests/test_continuity.py
@@ -1,4 +1,4 @@
-"""Whole answers through the loss of engines, agents and entries."""
+"""Answers stay complete and correct when engines, agents or hosts fail."""
 
 import asyncio
 from collections.abc import Callable
@@ -61,10 +61,12 @@
 
 @pytest.mark.parametrize('fault', FAULTS)
 @pytest.mark.parametrize('offset', [0, 1, 30, COUNT - 1, COUNT])
-def test_answer_is_whole_after_a_loss(
+def test_answer_is_complete_after_a_loss(
     fault: Callable[[AgentNode], None],
     offset: int,
 ) -> None:
+    """A fault strikes the upstream before, during or after its output."""
+
     async def scenario() -> None:
         deployment = SmallDeployment()
         request = CompletionRequest('furnace', PROMPT, max_tokens=COUNT)
@@ -80,7 +82,7 @@
     run_virtual(scenario())
 
 
-def test_clean_run_is_whole() -> None:
+def test_answer_is_complete_without_faults() -> None:
     async def scenario() -> None:
         deployment = SmallDeployment()
         request = CompletionRequest('furnace', PROMPT, max_tokens=COUNT)
@@ -91,7 +93,9 @@
     run_virtual(scenario())
 
 
-def test_many_callers_get_their_own_answers() -> None:
+def test_answers_are_not_mixed_up_after_a_loss() -> None:
+    """An engine dies while it runs the generations of many callers."""
+
     async def scenario() -> None:
         deployment = SmallDeployment()
         prompts = [f'{PROMPT} {index}' for index in range(30)]
--- a/tests/test_continuity_faults.py
+++ b/tests/test_continuity_faults.py
@@ -1,4 +1,7 @@
-"""Partitions, replaced processes, lost entries, disorder and slow callers."""
+"""Generations under partitions, replaced processes, lost entries and disorder.
+
+Also covers reconnects, slow callers and repeated requests.
+"""
 
 import asyncio
 
@@ -57,7 +60,11 @@
 @pytest.mark.parametrize('direction', ['to agent', 'from agent', 'both'])
 @pytest.mark.parametrize('offset', [0, 40, COUNT - 1])
 @pytest.mark.parametrize('heal_after_ms', [300, 20_000])
-def test_partition(direction: str, offset: int, heal_after_ms: float) -> None:
+def test_answer_is_complete_after_a_partition(
+    direction: str, offset: int, heal_after_ms: float
+) -> None:
+    """Entry and agent lose contact, in one or both directions."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         live, _ = deployment.entries[0].open(REQUEST)
@@ -78,7 +85,11 @@
 
 
 @pytest.mark.parametrize('offset', [0, 40, COUNT - 1])
-def test_replaced_agent_is_not_taken_for_the_old_one(offset: int) -> None:
+def test_replaced_agent_is_not_mistaken_for_its_predecessor(
+    offset: int,
+) -> None:
+    """The agent's process is replaced at the same address."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         live, _ = deployment.entries[0].open(REQUEST)
@@ -96,11 +107,11 @@
 
 @pytest.mark.parametrize('away_ms', [300, 1000, 2500, 5000, 9000])
 @pytest.mark.parametrize('offset', [6, 60])
-def test_stream_waits_while_the_last_agent_is_only_in_doubt(
+def test_stream_waits_while_the_last_agent_is_only_suspected(
     away_ms: float,
     offset: int,
 ) -> None:
-    """An engine is dead, an agent is killed, the third is away a while."""
+    """One engine is dead, one agent is killed, one is briefly unreachable."""
 
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
@@ -111,8 +122,8 @@
         first, last = (node for node in deployment.agents if node is not killed)
         first.engine.die()
         killed.kill()
-        there = last.transport.address
-        deployment.network.cut_both(there, entry_address(0))
+        last_address = last.transport.address
+        deployment.network.cut_both(last_address, entry_address(0))
         await deployment.clock.sleep_ms(away_ms)
         deployment.network.heal()
         await _check_whole(live)
@@ -120,7 +131,9 @@
     run_virtual(scenario())
 
 
-def test_resumed_engine_dies_as_well() -> None:
+def test_answer_is_complete_after_repeated_losses() -> None:
+    """Each engine that resumes the generation dies as well."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED, agent_count=4)
         live, _ = deployment.entries[0].open(REQUEST)
@@ -134,7 +147,9 @@
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_frames_late_doubled_lost_and_out_of_order(seed: int) -> None:
+def test_answer_is_complete_over_an_unreliable_network(seed: int) -> None:
+    """Messages arrive late, twice, out of order or not at all."""
+
     async def scenario() -> None:
         network = MemoryNetwork(
             delay_ms=5,
@@ -181,6 +196,12 @@
     lose_agent: bool,
     bring_tokens: bool,
 ) -> None:
+    """The entry of a stream dies, alone or together with the agent.
+
+    If both are lost, the output is only recovered from the tokens that the
+    caller sends along.
+    """
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED, entry_count=2)
         live, stream = deployment.entries[0].open(REQUEST)
@@ -217,9 +238,10 @@
 
 
 async def _taken_over_unheard(deployment: SmallDeployment):
-    """Kill an entry in a stream; another, which hears no agent, takes over.
+    """Kill the entry of a stream and reconnect through another entry.
 
-    Returns the events so far, and the generation and its stream there.
+    The agent's messages do not reach the second entry. Returns the events read
+    before, and the generation and its stream at the second entry.
     """
     live, stream = deployment.entries[0].open(REQUEST)
     head: list[bytes] = []
@@ -233,10 +255,10 @@
 
 
 @pytest.mark.parametrize('away_ms', [700, 1800])
-def test_entry_waits_for_the_agent_of_the_output_that_it_takes_over(
+def test_adopting_entry_waits_for_the_agent_with_the_output(
     away_ms: float,
 ) -> None:
-    """An agent may need a while to find a restarted entry again."""
+    """An agent may need some time to reconnect to a restarted entry."""
 
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED, entry_count=2)
@@ -251,23 +273,27 @@
     run_virtual(scenario())
 
 
-def test_output_that_can_not_be_fetched_is_refused_with_the_reason() -> None:
+def test_output_that_cannot_be_fetched_is_refused_with_the_reason() -> None:
+    """The agent with the output stays unreachable for the new entry."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED, entry_count=2)
         _, again, rest = await _taken_over_unheard(deployment)
-        asked_ms = deployment.clock.now_ms()
+        started_ms = deployment.clock.now_ms()
         tail: list[bytes] = []
         await _read_events(rest, tail, 10_000)
         refusal = again.generation.refusal
         assert refusal is not None
         assert refusal.reason is ReasonCode.OUTPUT_LOST
         assert 'no output from its agent' in refusal.detail
-        assert deployment.clock.now_ms() - asked_ms < 3000
+        assert deployment.clock.now_ms() - started_ms < 3000
 
     run_virtual(scenario())
 
 
-def test_old_entry_that_wakes_does_not_stop_the_new_one() -> None:
+def test_cancel_from_the_former_entry_does_not_stop_an_adopted_run() -> None:
+    """The caller has reconnected through another entry, which goes on."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED, entry_count=2)
         live, stream = deployment.entries[0].open(REQUEST)
@@ -285,7 +311,7 @@
     run_virtual(scenario())
 
 
-def test_same_key_joins_the_running_generation() -> None:
+def test_same_idempotency_key_joins_the_running_generation() -> None:
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         caller = Caller(TEAM, idempotency_key='batch-17')
@@ -296,7 +322,7 @@
         events: list[bytes] = []
         await _read_events(stream, events, 10_000)
         verify_answer(PROMPT, ''.join(_tokens(events)), COUNT)
-        started = sum(one.engine.counts.started for one in deployment.agents)
+        started = sum(node.engine.counts.started for node in deployment.agents)
         assert started == 1
         other = CompletionRequest('furnace', 'another prompt')
         with pytest.raises(RefusedError) as refused:
@@ -306,7 +332,7 @@
     run_virtual(scenario())
 
 
-def test_cursor_of_another_team_is_refused() -> None:
+def test_cursor_of_another_team_or_with_a_bad_signature_is_refused() -> None:
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         _, stream = deployment.entries[0].open(REQUEST)
@@ -324,7 +350,9 @@
     run_virtual(scenario())
 
 
-def test_slow_caller_stops_its_engine_and_no_other() -> None:
+def test_slow_caller_holds_up_only_its_own_generation() -> None:
+    """A caller stops reading while another reads from the same engine."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(
             agent_count=1,
@@ -347,7 +375,7 @@
     run_virtual(scenario())
 
 
-def test_caller_that_does_not_come_back_is_cancelled() -> None:
+def test_generation_is_cancelled_if_its_caller_does_not_reconnect() -> None:
     async def scenario() -> None:
         deployment = SmallDeployment()
         request = CompletionRequest('furnace', PROMPT, max_tokens=50_000)
@@ -362,7 +390,9 @@
     run_virtual(scenario())
 
 
-def test_no_upstream_left_is_refused_at_once_as_not_run() -> None:
+def test_request_without_any_live_upstream_is_refused_as_not_run() -> None:
+    """The refusal comes within a second and allows a safe retry."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         for node in deployment.agents:
@@ -376,14 +406,14 @@
         assert refusal.ran is Ran.NOT_RUN
         assert refusal.retry_after_ms > 0
         assert deployment.clock.now_ms() - started_ms < 1000
-        started = sum(one.engine.counts.started for one in deployment.agents)
+        started = sum(node.engine.counts.started for node in deployment.agents)
         assert started == 0
 
     run_virtual(scenario())
 
 
-async def _outrun_by_the_lost_attempt() -> None:
-    """Let a lost attempt's output arrive late and ahead of the new one."""
+async def _deliver_output_of_a_lost_attempt() -> None:
+    """Deliver a lost attempt's output late but ahead of the new attempt's."""
     network = MemoryNetwork(duplication=0.3, seed=1)
     deployment = SmallDeployment(speed=SPEED, network=network)
     live, _ = deployment.entries[0].open(REQUEST)
@@ -399,7 +429,7 @@
 
 
 def test_late_output_of_a_lost_attempt_is_dropped() -> None:
-    run_virtual(_outrun_by_the_lost_attempt())
+    run_virtual(_deliver_output_of_a_lost_attempt())
 
 
 def _accept_any_attempt(self: Generation, *_: object) -> bool:
@@ -418,20 +448,25 @@
         ('_append', _append_without_offset),
     ],
 )
-def test_checks_notice_a_broken_rule(
+def test_answer_check_detects_a_missing_rule(
     name: str,
     broken: object,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The fault above breaks the answer as soon as one rule is missing."""
+    """Without the check of attempts or offsets the same fault breaks answers.
+
+    This shows that the fault above reaches both checks.
+    """
     monkeypatch.setattr(Generation, name, broken)
     with pytest.raises((BrokenAnswerError, AssertionError)):
-        run_virtual(_outrun_by_the_lost_attempt())
+        run_virtual(_deliver_output_of_a_lost_attempt())
 
 
-def test_failure_of_the_entry_ends_in_a_refusal(
+def test_exception_in_the_driver_ends_in_a_refusal(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A programming error in the entry must not leave the caller waiting."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         live, _ = deployment.entries[0].open(REQUEST)
@@ -447,9 +482,11 @@
 
 
 @pytest.mark.parametrize('comes_back_as', ['same process', 'new process'])
-def test_silence_is_charged_only_if_the_process_ended(
+def test_silent_agent_counts_as_dead_only_if_its_process_ended(
     comes_back_as: str,
 ) -> None:
+    """After a partition the agent is reachable again, replaced or not."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(agent_count=6, speed=SPEED)
         entry = deployment.entries[0]
@@ -476,7 +513,9 @@
 
 
 @pytest.mark.parametrize('by', ['key', 'cursor'])
-def test_repeated_request_never_reads_a_cancelled_generation(by: str) -> None:
+def test_repeated_request_never_joins_a_cancelled_generation(by: str) -> None:
+    """A cancelled generation is incomplete and produces no more output."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(speed=SPEED)
         entry = deployment.entries[0]
--- a/tests/test_continuity_machine.py
+++ b/tests/test_continuity_machine.py
@@ -1,4 +1,4 @@
-"""Random sequences of faults: every answer is whole or truly refused."""
+"""Random sequences of faults: each answer is complete or correctly refused."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """A caller asks at an entry."""
+    """A caller sends a request to an entry."""
 
     entry: int
 
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True)
 class ReviveEngine:
-    """An engine starts again."""
+    """An engine restarts."""
 
     agent: int
 
 
 @dataclass(frozen=True)
 class PauseEngine:
-    """An engine stands still, then goes on."""
+    """An engine makes no progress for a time."""
 
     agent: int
     duration_ms: int
@@ -96,12 +96,12 @@
 
 @dataclass(frozen=True)
 class Heal:
-    """All links work."""
+    """All links work again."""
 
 
 @dataclass(frozen=True)
 class Disturb:
-    """Messages are late, lost or doubled from now on."""
+    """Messages are delayed, lost or duplicated from now on."""
 
     jitter_ms: int
     loss: float
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True)
 class SlowCaller:
-    """The newest caller stops to read, or reads on."""
+    """The newest caller stops reading or continues."""
 
     reading: bool
 
@@ -180,7 +180,7 @@
 
 @dataclass(eq=False)
 class Reader:
-    """A caller with all that it was sent, over its reconnects."""
+    """A caller and everything it received, across reconnects."""
 
     prompt: str
     entry: int
@@ -221,13 +221,17 @@
                     self.whole = True
 
     def check(self, started: set[str]) -> None:
-        """Check what the caller holds and what the entry holds for it."""
+        """Check the tokens that the caller and its entry have.
+
+        A refusal that states `Ran.NOT_RUN` must be true: no engine started the
+        generation.
+        """
         verify_answer(self.prompt, ''.join(self.tokens), len(self.tokens))
         if self.whole:
             assert len(self.tokens) == COUNT
         if self.live is not None:
-            held = self.live.generation.tokens
-            verify_answer(self.prompt, ''.join(held), len(held))
+            accepted = self.live.generation.tokens
+            verify_answer(self.prompt, ''.join(accepted), len(accepted))
         refusal = self.refusal
         if refusal is not None and refusal.ran is Ran.NOT_RUN:
             assert not self.tokens
@@ -235,7 +239,7 @@
 
 
 class World:
-    """A deployment under faults, and its callers."""
+    """Deployment with injected faults, and its callers."""
 
     def __init__(self) -> None:
         self.deployment = SmallDeployment(
@@ -312,13 +316,13 @@
             reader.task = asyncio.create_task(reader.read(stream))
 
     def replace_agent(self, agent: int) -> None:
-        old = self.deployment.agents[agent]
-        old.kill()
+        replaced = self.deployment.agents[agent]
+        replaced.kill()
         self.incarnation += 1
         self.deployment.agents[agent] = self.deployment.start_agent(
             agent,
             incarnation=self.incarnation,
-            engine=old.engine,
+            engine=replaced.engine,
         )
 
     def cut(self, action: Cut) -> None:
@@ -338,10 +342,10 @@
 
     async def kill_entry(self, action: KillEntry) -> None:
         entry = action.entry
-        lost = [one for one in self.readers if one.entry == entry]
-        lost = [one for one in lost if not one.is_over]
+        affected = [reader for reader in self.readers if reader.entry == entry]
+        affected = [reader for reader in affected if not reader.is_over]
         self.deployment.entries[entry].kill()
-        for reader in lost:
+        for reader in affected:
             if reader.task is not None:
                 reader.task.cancel()
         self.incarnation += 1
@@ -350,10 +354,10 @@
             incarnation=self.incarnation,
         )
         await self.deployment.clock.sleep_ms(action.after_ms)
-        for reader in lost:
+        for reader in affected:
             reader.entry = 1 - entry
-            brings = action.bring_tokens and reader.cursor
-            accepted = tuple(reader.tokens) if brings else ()
+            has_tokens = action.bring_tokens and reader.cursor
+            accepted = tuple(reader.tokens) if has_tokens else ()
             caller = Caller(TEAM, last_event_id=reader.cursor)
             self.open(reader, caller, accepted)
 
@@ -379,22 +383,22 @@
 
     def check(self) -> None:
         started = {
-            identity.rpartition('/')[0]
+            request_id.rpartition('/')[0]
             for node in self.deployment.agents
-            for identity in node.engine.counts.started_ids
+            for request_id in node.engine.counts.started_ids
         }
         for reader in self.readers:
             reader.check(started)
 
     async def settle(self) -> None:
-        """Heal everything and check that everything ends."""
+        """Remove all faults and check that every generation ends."""
         self.heal()
         waited_ms = 0
-        while not all(one.is_over for one in self.readers):
+        while not all(reader.is_over for reader in self.readers):
             assert waited_ms < SETTLE_MS, [
-                (one.live and one.live.generation.state, one.refusal)
-                for one in self.readers
-                if not one.is_over
+                (reader.live and reader.live.generation.state, reader.refusal)
+                for reader in self.readers
+                if not reader.is_over
             ]
             await self.deployment.clock.sleep_ms(POLL_MS)
             waited_ms += POLL_MS
@@ -402,7 +406,7 @@
 
 
 async def run_faults(actions: list[Action]) -> None:
-    """Apply actions and check the invariants after each."""
+    """Apply actions, check the invariants after each and settle at the end."""
     world = World()
     world.start(0)
     for action in actions:
--- a/tests/test_drain_path.py
+++ b/tests/test_drain_path.py
@@ -1,4 +1,4 @@
-"""Drain of an agent through the real entry: no new work, nothing cut."""
+"""Drain of an agent behind an entry: no new work, no generation interrupted."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 
 class Load:
-    """Callers that ask at an even rate and read to the end."""
+    """Callers that send requests at a constant rate and read to the end."""
 
     def __init__(self, deployment: SmallDeployment) -> None:
         self.deployment = deployment
@@ -148,7 +148,8 @@
 
 
 @pytest.mark.parametrize('announce', ANNOUNCEMENTS)
-def test_planned_stop_under_load_cuts_nothing(announce: Announce) -> None:
+def test_planned_stop_under_load_interrupts_nothing(announce: Announce) -> None:
+    """A drain is announced in each possible way while callers keep coming."""
     run_virtual(_planned_stop(announce))
 
 
@@ -157,29 +158,37 @@
     load = Load(deployment)
     await load.offer(500)
     node = deployment.agents[0]
-    held = [live for live in load.lives if deployment.node_of(live) is node]
-    offsets = [live.generation.offset for live in held]
+    on_node = [live for live in load.lives if deployment.node_of(live) is node]
+    offsets = [live.generation.offset for live in on_node]
     assert any(offsets)
     notice = DrainNotice(draining=True, reason='', deadline_ms=deadline_ms)
     node.agent.on_message(Envelope('10.9.0.9:7000', 1, notice))
     await deployment.clock.sleep_ms(deadline_ms)
-    assert all(deployment.node_of(live) is not node for live in held)
+    assert all(deployment.node_of(live) is not node for live in on_node)
     node.kill()
     node.engine.die()
     await load.finish()
-    assert all(live.attempts == 2 for live in held)
-    for live, offset in zip(held, offsets, strict=True):
+    assert all(live.attempts == 2 for live in on_node)
+    for live, offset in zip(on_node, offsets, strict=True):
         assert live.resumed_at >= offset
-    resumed = sum(one.engine.counts.decoded_tokens for one in deployment.agents)
-    assert resumed <= len(load.lives) * (COUNT + 5)
+    decoded = sum(
+        agent_node.engine.counts.decoded_tokens
+        for agent_node in deployment.agents
+    )
+    assert decoded <= len(load.lives) * (COUNT + 5)
 
 
 @pytest.mark.parametrize('deadline_ms', [400, 1000])
-def test_near_deadline_hands_over_at_an_offset(deadline_ms: int) -> None:
+def test_drain_near_its_deadline_hands_over_without_lost_output(
+    deadline_ms: int,
+) -> None:
+    """The deadline comes before the generations can end on the agent."""
     run_virtual(_near_deadline(deadline_ms))
 
 
-def test_platform_outage_leaves_the_drain_as_it_is() -> None:
+def test_platform_outage_does_not_end_a_drain() -> None:
+    """The host list is unavailable or empty; only a listed host resumes."""
+
     async def scenario() -> None:
         deployment = SmallDeployment()
         platform = MemoryPlatform(deployment.clock)
@@ -208,7 +217,11 @@
     ('agents', 'interval_ms'),
     [(0, 1000), (200, 1000), (12_000, 60_000)],
 )
-def test_all_agents_share_the_reads(agents: int, interval_ms: float) -> None:
+def test_host_list_interval_grows_with_the_number_of_agents(
+    agents: int, interval_ms: float
+) -> None:
+    """Many agents must not overload the platform with reads of the list."""
+
     async def scenario() -> None:
         deployment = SmallDeployment()
         platform = MemoryPlatform(deployment.clock)
--- a/tests/test_drain_plan.py
+++ b/tests/test_drain_plan.py
@@ -63,34 +63,37 @@
 
 
 @pytest.mark.parametrize(('domains', 'models'), [(1, 1), (4, 3), (7, 2)])
-def test_limits_hold_at_every_time(domains: int, models: int) -> None:
+def test_stops_stay_within_the_limits_at_all_times(
+    domains: int, models: int
+) -> None:
     version = _version(90, domains, models)
-    made = _plan(version, LIMITS)
-    assert len(made.stops) == 90
-    for stop in made.stops:
+    plan = _plan(version, LIMITS)
+    assert len(plan.stops) == 90
+    for stop in plan.stops:
         running = [
             version.upstreams_by_agent[address]
-            for address in _overlaps(made.stops, stop.start_ms)
+            for address in _overlaps(plan.stops, stop.start_ms)
         ]
-        by_domain = Counter(one.failure_domain for one in running)
-        by_model = Counter(one.models[0].model for one in running)
+        by_domain = Counter(upstream.failure_domain for upstream in running)
+        by_model = Counter(upstream.models[0].model for upstream in running)
         assert max(by_domain.values()) <= 2
         assert max(by_model.values()) <= 90 // models // 10
 
 
 def test_first_stop_leaves_time_to_publish() -> None:
-    made = _plan(_version(1, 1, 1), LIMITS)
-    assert made.stops[0].start_ms == 6000
-    assert made.end_ms == 66_000
+    plan = _plan(_version(1, 1, 1), LIMITS)
+    assert plan.stops[0].start_ms == 6000
+    assert plan.end_ms == 66_000
 
 
-def test_published_stops_count_and_are_not_repeated() -> None:
+def test_published_stops_count_towards_limits_and_are_not_repeated() -> None:
+    """`a0` is already planned; the stop of `a2` is over."""
     published = Stop('s', 'a0', 0, 6001)
     version = _version(3, 1, 1, (published, Stop('old', 'a2', 0, 1000)))
     limits = DrainLimits(1, 100, 5000, 60_000)
-    made = _plan(version, limits)
-    assert [stop.address for stop in made.stops] == ['a1', 'a2']
-    assert made.stops[0].start_ms == 66_000
+    plan = _plan(version, limits)
+    assert [stop.address for stop in plan.stops] == ['a1', 'a2']
+    assert plan.stops[0].start_ms == 66_000
 
 
 def test_entries_are_found_in_the_host_list() -> None:
@@ -99,7 +102,7 @@
     assert [target.failure_domain for target in targets] == ['d0', 'd0']
 
 
-def test_unknown_address_is_named() -> None:
+def test_unknown_address_is_named_in_the_error() -> None:
     with pytest.raises(DrainPlanError, match="'nobody'"):
         find_targets(_version(1, 1, 1), (), ['nobody'])
 
--- a/tests/test_drain_report.py
+++ b/tests/test_drain_report.py
@@ -1,3 +1,5 @@
+"""Drain reports: a host is reported safe to stop only if it is."""
+
 import asyncio
 
 import pytest
@@ -49,22 +51,23 @@
     assert not (await bench.verdict()).safe
 
 
-def test_status_follows_the_drain() -> None:
+def test_verdict_follows_the_phase_and_age_of_reports() -> None:
     run_virtual(_follow_drain())
 
 
 async def _replaced() -> None:
     bench = _Bench()
-    old = bench.reporter()
-    await old.report(DrainPhase.DRAINED, ())
+    old_reporter = bench.reporter()
+    await old_reporter.report(DrainPhase.DRAINED, ())
     await bench.reporter(2).report(DrainPhase.SERVING, ())
     assert not (await bench.verdict()).safe
     await bench.clock.sleep_ms(REPORT_INTERVAL_MS)
-    await old.report(DrainPhase.DRAINED, ())
+    await old_reporter.report(DrainPhase.DRAINED, ())
     assert not (await bench.verdict()).safe
 
 
-def test_replacement_is_not_safe_and_old_process_cannot_say_so() -> None:
+def test_report_of_a_replaced_process_does_not_make_its_host_safe() -> None:
+    """A new process serves at the address while the old one still reports."""
     run_virtual(_replaced())
 
 
@@ -81,7 +84,7 @@
     assert (await bench.verdict()).safe
 
 
-def test_outage_and_lost_answer_are_made_good() -> None:
+def test_report_is_retried_after_an_outage_or_a_lost_answer() -> None:
     run_virtual(_outage())
 
 
@@ -94,7 +97,7 @@
     return bench.platform.writes
 
 
-def test_writes_are_rare() -> None:
+def test_unchanged_report_is_written_once_per_interval() -> None:
     assert run_virtual(_count_writes()) == 6
 
 
@@ -111,6 +114,8 @@
 
 
 @pytest.mark.parametrize('held_by', [(), ('outputs: 1',)])
-def test_drained_with_work_is_not_safe(held_by: tuple[str, ...]) -> None:
+def test_drained_host_with_remaining_work_is_not_safe(
+    held_by: tuple[str, ...],
+) -> None:
     report = DrainReport(ADDRESS, 1, DrainPhase.DRAINED, held_by, 0)
     assert judge_report(ADDRESS, report, 0).safe is (not held_by)
--- a/tests/test_drain_state.py
+++ b/tests/test_drain_state.py
@@ -1,3 +1,5 @@
+"""Drain of one process: announcements, phases and deadlines."""
+
 import pytest
 
 from bergamotthread.clock import Clock
@@ -40,7 +42,7 @@
 
 
 @pytest.mark.parametrize('way', ['signal', 'published', 'notice', 'host_list'])
-def test_each_announcement_shuts_the_gate_at_once(way: str) -> None:
+def test_each_announcement_stops_new_work_immediately(way: str) -> None:
     drain = DrainState(_Time().clock, ADDRESS)
     assert drain.may_dispatch()
     _announce(drain, way)
@@ -49,7 +51,7 @@
     assert drain.refresh(0) is DrainPhase.DRAINED
 
 
-def test_published_stop_starts_without_being_told_again() -> None:
+def test_published_stop_starts_on_time_without_another_message() -> None:
     time = _Time()
     drain = DrainState(time.clock, ADDRESS)
     drain.apply_stops([_stop(5000, 50_000), _stop(0, 9, 'other')])
@@ -59,10 +61,10 @@
     assert not drain.may_dispatch()
 
 
-def test_work_left_near_the_deadline_is_handed_over() -> None:
+def test_remaining_work_is_handed_over_near_the_deadline() -> None:
     time = _Time()
-    seen: list[DrainPhase] = []
-    drain = DrainState(time.clock, ADDRESS, seen.append)
+    entered: list[DrainPhase] = []
+    drain = DrainState(time.clock, ADDRESS, entered.append)
     drain.apply_stops([_stop(0, 100_000)])
     drain.refresh(2)
     time.elapsed_ms = 69_999
@@ -70,14 +72,14 @@
     time.elapsed_ms = 70_000
     assert drain.refresh(2) is DrainPhase.STOPPING
     drain.refresh(0)
-    assert seen == [
+    assert entered == [
         DrainPhase.DRAINING,
         DrainPhase.STOPPING,
         DrainPhase.DRAINED,
     ]
 
 
-def test_host_with_work_is_never_drained() -> None:
+def test_drained_process_with_new_work_drains_again() -> None:
     drain = DrainState(_Time().clock, ADDRESS)
     drain.apply_leaving(leaving=True)
     drain.refresh(0)
@@ -85,7 +87,9 @@
 
 
 @pytest.mark.parametrize('way', ['published', 'notice', 'host_list'])
-def test_withdrawn_announcement_leaves_the_others(way: str) -> None:
+def test_withdrawal_ends_a_drain_unless_a_signal_announced_it(
+    way: str,
+) -> None:
     drain = DrainState(_Time().clock, ADDRESS)
     _announce(drain, way)
     drain.refresh(1)
@@ -105,7 +109,7 @@
     assert drain.deadline_ms() == 60_000
 
 
-def test_restarted_process_ignores_a_stop_that_is_over() -> None:
+def test_restarted_process_ignores_a_stop_that_has_ended() -> None:
     time = _Time()
     time.elapsed_ms = 20_000
     drain = DrainState(time.clock, ADDRESS)
@@ -115,6 +119,6 @@
     assert not drain.may_dispatch()
 
 
-def test_entry_knows_stops_without_the_agent() -> None:
+def test_stopping_addresses_depend_on_published_stops_alone() -> None:
     stops = [_stop(0, 10), _stop(5, 20, 'b'), _stop(11, 20, 'c')]
     assert stopping_addresses(stops, EPOCH_MS + 10) == {'b'}
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -1,3 +1,5 @@
+"""Quarantine of requests that crash upstreams, and of no other requests."""
+
 import asyncio
 
 import pytest
@@ -43,8 +45,8 @@
 
 def _die(guard, time, index, content=_POISON, beside=(), domain=None) -> None:
     agent = f'agent{index}'
-    for one in (content, *beside):
-        guard.record_start(agent, f'g{one}', one)
+    for content_hash in (content, *beside):
+        guard.record_start(agent, f'g{content_hash}', content_hash)
     guard.record_death(agent, domain or f'd{index}')
     time.advance_ms(_SETTLED_MS)
 
@@ -59,12 +61,12 @@
     ],
 )
 def test_fingerprint_covers_team_pin_and_prompt(other) -> None:
-    same = fingerprint('team', Pin('m', '1'), 'text')
-    assert same == fingerprint('team', Pin('m', '1'), 'text') != 0
-    assert fingerprint(*other) != same
+    reference = fingerprint('team', Pin('m', '1'), 'text')
+    assert reference == fingerprint('team', Pin('m', '1'), 'text') != 0
+    assert fingerprint(*other) != reference
 
 
-def test_bounded_deaths_quarantine_once_and_explain() -> None:
+def test_request_is_quarantined_once_after_the_maximum_of_deaths() -> None:
     time = ManualTime()
     guard = _guard(time)
     for index in range(COUNTED_DEATHS_MAX):
@@ -79,7 +81,12 @@
     assert '3 upstreams died' in refusal.detail
 
 
-def test_request_beside_a_poison_is_kept_apart_and_then_cleared() -> None:
+def test_request_that_shared_a_dead_upstream_is_isolated_then_cleared() -> None:
+    """A harmless request ran on an upstream that another one crashed.
+
+    It is isolated from the other suspect until it makes progress, and is never
+    quarantined.
+    """
     time = ManualTime()
     guard = _guard(time)
     innocent = 7
@@ -98,7 +105,8 @@
 
 
 @pytest.mark.parametrize('order', [(0, 1, 2), (2, 0, 1)])
-def test_loss_of_a_failure_domain_condemns_nobody(order) -> None:
+def test_loss_of_a_failure_domain_quarantines_no_request(order) -> None:
+    """The same requests run on three failure domains lost one by one."""
     time = ManualTime()
     guard = _guard(time)
     for round_index in range(COUNTED_DEATHS_MAX):
@@ -115,15 +123,15 @@
 
 
 def _lose(guard, time, count, content=_POISON) -> None:
-    """Lose upstreams of different domains at once, one with a request."""
+    """Kill upstreams of different domains at once; one runs a request."""
     guard.record_start('agent0', 'g', content)
     for index in range(count):
         guard.record_death(f'agent{index}', f'd{index}')
         time.advance_ms(100)
 
 
-def test_scattered_loss_makes_no_suspect() -> None:
-    """One upstream of each of several domains, lost together."""
+def test_simultaneous_loss_across_domains_makes_no_suspect() -> None:
+    """One upstream of each of several domains dies at the same time."""
     time = ManualTime()
     guard = _guard(time)
     _lose(guard, time, 4)
@@ -132,15 +140,19 @@
     assert guard.avoided_agents(7) == frozenset()
 
 
-def test_few_losses_at_once_make_a_suspect() -> None:
+def test_few_simultaneous_losses_across_domains_make_a_suspect() -> None:
+    """Three deaths at once are below the limit for a common cause."""
     time = ManualTime()
     guard = _guard(time)
     _lose(guard, time, 3)
     assert guard.check(_POISON) == Suspect(1)
 
 
-def test_poison_among_scattered_losses_is_stopped_by_the_same_bound() -> None:
-    """Each of its deaths has others near it, and each is counted."""
+def test_deaths_across_domains_still_count_towards_quarantine() -> None:
+    """Each death of the request coincides with deaths in other domains.
+
+    Only deaths in the same failure domain excuse a request, so each counts.
+    """
     time = ManualTime()
     guard = _guard(time)
     expected = (Clear(), Suspect(2))
@@ -153,7 +165,8 @@
     assert isinstance(guard.check(_POISON), Quarantined)
 
 
-def test_upstream_that_ran_nothing_from_here_shows_the_domain_loss() -> None:
+def test_death_of_an_upstream_without_requests_shows_a_domain_loss() -> None:
+    """The second upstream of the domain ran no request of this process."""
     time = ManualTime()
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
@@ -163,7 +176,11 @@
     assert guard.check(_POISON) == Clear()
 
 
-def test_deaths_by_another_poison_do_not_excuse_in_a_large_domain() -> None:
+def test_single_other_death_is_no_loss_of_a_large_domain() -> None:
+    """Another crashing request kills one more upstream each time.
+
+    In a domain of ten upstreams this does not excuse the first request.
+    """
     time = ManualTime()
     guard = PoisonGuard(time.clock, _Sink(), domain_size=lambda domain: 10)
     for index in range(COUNTED_DEATHS_MAX):
@@ -174,7 +191,7 @@
     assert isinstance(guard.check(_POISON), Quarantined)
 
 
-def test_loss_of_a_large_domain_condemns_nobody() -> None:
+def test_loss_of_a_large_domain_quarantines_no_request() -> None:
     time = ManualTime()
     guard = PoisonGuard(time.clock, _Sink(), domain_size=lambda domain: 300)
     for index in range(300):
@@ -184,7 +201,7 @@
     assert {type(guard.check(index + 1)) for index in range(300)} == {Clear}
 
 
-def test_resumption_sent_to_a_dead_upstream_is_not_charged() -> None:
+def test_attempt_that_a_dead_upstream_never_confirmed_is_not_charged() -> None:
     time = ManualTime()
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
@@ -195,7 +212,8 @@
     assert guard.check(_POISON) == Suspect(2)
 
 
-def test_poison_that_stays_in_one_domain_is_still_counted() -> None:
+def test_request_that_crashes_one_domain_repeatedly_is_quarantined() -> None:
+    """The deaths coincide, but each of the upstreams ran the request."""
     time = ManualTime()
     guard = _guard(time)
     for index in range(COUNTED_DEATHS_MAX):
@@ -206,7 +224,8 @@
     assert isinstance(guard.check(_POISON), Quarantined)
 
 
-def test_last_death_is_settled_before_a_request_is_condemned() -> None:
+def test_quarantine_waits_until_the_last_death_is_certain_to_count() -> None:
+    """The third death may still prove part of the loss of its domain."""
     time = ManualTime()
     guard = _guard(time)
     _die(guard, time, 0)
@@ -220,7 +239,8 @@
     assert guard.check(_POISON) == Suspect(2)
 
 
-def test_poison_that_produces_tokens_first_is_bounded_too() -> None:
+def test_request_that_crashes_after_output_is_quarantined_too() -> None:
+    """Progress clears the counted deaths, but not all charged ones."""
     time = ManualTime()
     guard = _guard(time)
     for index in range(CHARGED_DEATHS_MAX):
@@ -232,7 +252,7 @@
     assert isinstance(guard.check(_POISON), Quarantined)
 
 
-def test_completion_forgets_the_charges() -> None:
+def test_completion_clears_all_charges() -> None:
     time = ManualTime()
     guard = _guard(time)
     for index in range(CHARGED_DEATHS_MAX - 1):
@@ -246,7 +266,8 @@
     assert guard.check(_POISON) == Suspect(1)
 
 
-def test_charges_of_peers_add_up_whatever_order_they_come_in() -> None:
+def test_repeated_charges_of_one_peer_count_once() -> None:
+    """A resent charge replaces the earlier one; other peers' are added."""
     time = ManualTime()
     guard = _guard(time)
     guard.merge('entry1', Quarantine(_POISON, 1, confirmed=False))
@@ -266,7 +287,7 @@
     assert guard.check(_POISON) == Clear()
 
 
-def test_charges_follow_what_counts() -> None:
+def test_only_changes_of_counted_deaths_are_sent() -> None:
     time = ManualTime()
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
@@ -350,7 +371,8 @@
     assert isinstance(late.guard.check(_POISON), Quarantined)
 
 
-def test_resend_through_another_entry_is_refused() -> None:
+def test_quarantine_reaches_all_entries_and_the_table() -> None:
+    """The table is down when the quarantine is confirmed."""
     run_virtual(_resend())
 
 
@@ -369,7 +391,8 @@
     return deaths
 
 
-def test_resends_in_turn_through_all_entries_kill_no_more() -> None:
+def test_retries_spread_over_all_entries_kill_no_more_upstreams() -> None:
+    """Each entry alone sees fewer deaths than the maximum."""
     assert run_virtual(_spread_resends()) == COUNTED_DEATHS_MAX
 
 
@@ -399,5 +422,5 @@
     assert len(platform.rows_by_key) == 1
 
 
-def test_row_whose_answer_was_lost_is_written_again() -> None:
+def test_row_is_written_again_after_a_lost_store_answer() -> None:
     run_virtual(_lost_answer())
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""Warm standbys: used after a loss, and not where they were lost as well."""
+"""Warm standbys: used after a loss unless the standby was lost as well."""
 
 import pytest
 
@@ -15,6 +15,8 @@
 
 @pytest.mark.parametrize('standby_dies', [False, True])
 def test_lost_standby_costs_no_attempt(standby_dies: bool) -> None:
+    """The agent dies, alone or at the same time as its standby."""
+
     async def scenario() -> None:
         deployment = SmallDeployment(
             agent_count=12,
