--- a/bergamotthread/process/calls/ticket_book.py
+++ b/bergamotthread/process/calls/ticket_book.py
@@ -10,8 +10,8 @@
 class TicketState(enum.Enum):
     """State of a ticket.
 
-    `OPEN` permits one sending, `USED` means that the call was sent, `CLOSED`
-    that it was not and will not be.
+    `OPEN` permits one sending, `USED` means that the call may have been sent,
+    `CLOSED` that it was not and will not be.
     """
 
     OPEN = 'open'
--- a/bergamotthread/process/generations/generation_watch.py
+++ b/bergamotthread/process/generations/generation_watch.py
@@ -9,6 +9,8 @@
 
 RETENTION_MS = 60_000
 DELIVERED_RETENTION_MS = 5000
+# With a larger backlog the agent may have paused the engine for a slow caller,
+# so the engine's silence does not count as a stall.
 BACKLOG_TOKENS = 32
 
 
