--- a/bergamotthread/version/__init__.py
+++ b/bergamotthread/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one published version of the configuration."""
+"""Publication, validation and distribution of configuration versions."""
--- a/bergamotthread/version/acceptance.py
+++ b/bergamotthread/version/acceptance.py
@@ -1,4 +1,4 @@
-"""When a published version is in force everywhere."""
+"""Waits until a published version is in force in all processes."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 
 @dataclass(frozen=True)
 class Acceptance:
-    """Whether a version is in force everywhere.
+    """Result of waiting until a version is in force everywhere.
 
     Parameters
     ----------
     waited_ms
-        Time since the version was seen to be published.
+        Time since the version was found to be published.
     admitting
-        Registered processes that may still admit by an older version.
+        Registered processes that may still admit requests under an older
+        version.
     stopped
-        Processes that were registered with an older version and whose leases
-        have lapsed: they admit nothing before they have this version.
+        Processes that are registered with an older version and whose leases
+        have expired: they admit no requests until they have this version.
     """
 
     version: int
@@ -46,26 +47,27 @@
     stopped: tuple[StoredHolder, ...] = ()
 
     def describe(self) -> str:
-        """Return the outcome as an operator reads it."""
+        """Return the result as a message for operators."""
         if not self.is_accepted:
-            where = _describe_places(self.admitting) or 'leases still running'
-            return f'published, not yet in force in: {where}'
+            places = _describe_places(self.admitting) or 'unexpired leases'
+            return f'published, not yet in force in: {places}'
         if self.stopped:
-            where = _describe_places(self.stopped)
+            places = _describe_places(self.stopped)
             return (
                 'accepted, in force everywhere; '
-                f'stopped admitting until heard from: {where}'
+                f'stopped admitting until heard from: {places}'
             )
         return 'accepted, in force everywhere'
 
 
 @dataclass(frozen=True)
 class AcceptanceWatch:
-    """Waits until no process may admit by an older version.
+    """Waits until no process may admit requests under an older version.
 
-    No list of processes is needed for those that hold a plain lease: it has
-    lapsed after `lapse_ms` unless they have the version. A process with a
-    longer lease is registered, and has the version or is waited for.
+    Processes without an outage lease need no tracking: their version lease
+    expires within `lapse_ms` unless they have the version. A process with a
+    longer lease is registered; the watch waits until its row names the
+    version or its lease has expired.
     """
 
     table: Table
@@ -77,15 +79,16 @@
         Raises
         ------
         BergamotError
-            If no version as new as `version` is published.
+            If the newest published version is older than `version`.
         StoreUnavailableError
-            If the table does not say which version is published.
+            If the version row can't be read.
         """
         row = await self.table.read(VERSION_KEY)
         published = decode_record(row.body, VersionRow).version if row else 0
         if published < version:
             raise BergamotError(
-                f'version {version} is not published, newest is {published}',
+                f'version {version} is not published, the newest is '
+                f'{published}',
                 step=Step.PUBLISH,
             )
         published_ms = self.clock.now_ms()
@@ -102,13 +105,15 @@
             waited_ms = self.clock.now_ms() - published_ms
             return Acceptance(version, waited_ms, is_accepted=False)
         waited_ms = self.clock.now_ms() - published_ms
-        behind = tuple(one for one in holders if one.holder.version < version)
+        behind = tuple(
+            stored for stored in holders if stored.holder.version < version
+        )
         admitting = tuple(
-            one
-            for one in behind
-            if waited_ms <= lapse_ms(one.holder.outage_lease_ms)
+            stored
+            for stored in behind
+            if waited_ms <= lapse_ms(stored.holder.outage_lease_ms)
         )
-        stopped = tuple(one for one in behind if one not in admitting)
+        stopped = tuple(stored for stored in behind if stored not in admitting)
         is_lapsed = waited_ms > lapse_ms(0)
         if is_lapsed and not admitting:
             await self._forget(stopped)
@@ -116,17 +121,17 @@
         return Acceptance(version, waited_ms, False, admitting, stopped)
 
     async def _forget(self, stopped: tuple[StoredHolder, ...]) -> None:
-        """Delete rows whose leases have lapsed, unless they are renewed."""
-        for one in stopped:
+        """Delete rows with expired leases, unless they were renewed."""
+        for stored in stopped:
             with contextlib.suppress(StoreConflictError, StoreUnavailableError):
-                await self.table.delete(one.key, expected=one.revision)
+                await self.table.delete(stored.key, expected=stored.revision)
 
 
 def _describe_places(holders: tuple[StoredHolder, ...]) -> str:
     addresses_by_region: dict[str, list[str]] = {}
-    for one in holders:
-        addresses = addresses_by_region.setdefault(one.holder.region, [])
-        addresses.append(one.holder.address)
+    for stored in holders:
+        addresses = addresses_by_region.setdefault(stored.holder.region, [])
+        addresses.append(stored.holder.address)
     return ', '.join(
         f'{region or "no region"} ({" ".join(sorted(addresses))})'
         for region, addresses in sorted(addresses_by_region.items())
--- a/bergamotthread/version/archive.py
+++ b/bergamotthread/version/archive.py
@@ -1,4 +1,4 @@
-"""Reading of versions from the platform's object store."""
+"""Reads versions from the platform's object store."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 
 
 class MissingObjectError(BergamotError):
-    """An object that a record names is not in the store."""
+    """An object that a record refers to is missing from the store."""
 
 
 @dataclass(frozen=True)
 class Archive:
-    """Publications and snapshots by the ids that records name.
+    """Reads publications and snapshots by the names that records contain.
 
-    Objects never change, so those that were read are kept until a version is
-    complete: a reader that the store's limits interrupt goes on where it was.
+    Objects are immutable. Those already read are cached until a version is
+    complete, so that a read interrupted by the store's rate limits can be
+    retried without reading them again.
     """
 
     store: ObjectStore
@@ -40,7 +41,8 @@
         Parameters
         ----------
         held
-            State to continue from; a snapshot is read where it is too old.
+            State to start from; the row's snapshot is used instead if the
+            state is more than `MAX_FOLLOWED` versions old or empty.
         """
         if held.version == row.version:
             return held
@@ -53,26 +55,26 @@
         return held
 
     async def version(self, row: VersionRow, version: int) -> VersionState:
-        """Return the state of an earlier version of the row's history.
+        """Return the state of any version in the row's history.
 
         Raises
         ------
         MissingObjectError
-            If there is no such version.
+            If the version does not exist.
         """
         if not 0 < version <= row.version:
             raise MissingObjectError(
-                f'version {version}, expected one from 1 to {row.version}',
+                f'no version {version}, expected 1 to {row.version}',
                 step=Step.PUBLISH,
             )
         tail = await self.tail(row.publication_id)
-        walked = tail.publications
-        while not _covers(tail, walked, version):
-            tail = await self.tail(walked[0].previous_id)
-            kept = walked if tail.snapshot_version < version else ()
-            walked = tail.publications + kept
+        publications = tail.publications
+        while not _covers(tail, publications, version):
+            tail = await self.tail(publications[0].previous_id)
+            later = publications if tail.snapshot_version < version else ()
+            publications = tail.publications + later
         state = await self._snapshot(tail.snapshot)
-        for publication in walked:
+        for publication in publications:
             if state.version < publication.version <= version:
                 state = state.follow(publication)
         self._bodies_by_name.clear()
@@ -84,21 +86,27 @@
         since: int,
     ) -> tuple[Publication, ...]:
         """Return the publications after version `since`, oldest first."""
-        walked = tuple(one for one in row.recent if one.version > since)
-        next_id = walked[0].previous_id if walked else row.publication_id
-        next_version = walked[0].version - 1 if walked else row.version
+        found = tuple(
+            publication
+            for publication in row.recent
+            if publication.version > since
+        )
+        next_id = found[0].previous_id if found else row.publication_id
+        next_version = found[0].version - 1 if found else row.version
         while next_version > since:
             tail = await self.tail(next_id)
             older = tuple(
-                one for one in tail.publications if one.version > since
+                publication
+                for publication in tail.publications
+                if publication.version > since
             )
-            walked = older + walked
-            next_id = walked[0].previous_id
-            next_version = walked[0].version - 1
-        return walked
+            found = older + found
+            next_id = found[0].previous_id
+            next_version = found[0].version - 1
+        return found
 
     async def tail(self, publication_id: str) -> Tail:
-        """Return a publication with those before it."""
+        """Return a publication together with the ones that precede it."""
         return decode_record(await self._get(tail_name(publication_id)), Tail)
 
     async def _snapshot(self, name: str) -> VersionState:
@@ -112,7 +120,9 @@
         if body is None:
             body = await self.store.get(name)
         if body is None:
-            raise MissingObjectError(f'no object {name}', step=Step.PUBLISH)
+            raise MissingObjectError(
+                f'object {name} not found', step=Step.PUBLISH
+            )
         self._bodies_by_name[name] = body
         return body
 
@@ -122,6 +132,6 @@
     walked: tuple[Publication, ...],
     version: int,
 ) -> bool:
-    """Return whether the tail's snapshot and `walked` lead to `version`."""
+    """Return whether `walked` continues the tail's snapshot to `version`."""
     starts_early = tail.snapshot_version < version
     return starts_early and walked[0].version <= tail.snapshot_version + 1
--- a/bergamotthread/version/check_rules.py
+++ b/bergamotthread/version/check_rules.py
@@ -1,4 +1,4 @@
-"""Rules that a whole set of objects must meet."""
+"""Validation rules for a complete set of objects."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def find_faults(index: SetIndex) -> Faults:
-    """Yield every fault of a set."""
+    """Yield all faults of a set."""
     for rule in _RULES:
         yield from rule(index)
 
 
 def check_address(path: str, address: str) -> Faults:
-    """Yield a fault where `address` is not an IP number and port."""
+    """Yield a fault if `address` is not an IP number and port."""
     host, _, port = address.rpartition(':')
     try:
         ipaddress.ip_address(host.removeprefix('[').removesuffix(']'))
@@ -59,21 +59,21 @@
 def _check_names(index: SetIndex) -> Faults:
     for kind in KINDS:
         first_by_name: dict[str, int] = {}
-        for at, one in enumerate(getattr(index.object_set, kind)):
-            path = f'$.{kind}[{at}].name'
-            if not _NAME.fullmatch(one.name):
-                yield Fault(path, one.name, _NAME_RULE)
-            first = first_by_name.setdefault(one.name, at)
-            if first != at:
-                stands = f'stands already at $.{kind}[{first}]'
-                yield Fault(path, one.name, stands)
+        for position, named in enumerate(getattr(index.object_set, kind)):
+            path = f'$.{kind}[{position}].name'
+            if not _NAME.fullmatch(named.name):
+                yield Fault(path, named.name, _NAME_RULE)
+            first = first_by_name.setdefault(named.name, position)
+            if first != position:
+                expected = f'already used at $.{kind}[{first}]'
+                yield Fault(path, named.name, expected)
 
 
 def _check_credentials(index: SetIndex) -> Faults:
     path_by_digest: dict[str, str] = {}
     for kind in ('teams', 'operators'):
-        for at, owner in enumerate(getattr(index.object_set, kind)):
-            path = f'$.{kind}[{at}].credential_hashes'
+        for position, owner in enumerate(getattr(index.object_set, kind)):
+            path = f'$.{kind}[{position}].credential_hashes'
             yield from _check_owner(path, owner, path_by_digest)
 
 
@@ -82,40 +82,40 @@
     owner: Team | Operator,
     path_by_digest: dict[str, str],
 ) -> Faults:
-    for at, digest in enumerate(owner.credential_hashes):
-        here = f'{path}[{at}]'
+    for position, digest in enumerate(owner.credential_hashes):
+        digest_path = f'{path}[{position}]'
         if not _DIGEST.fullmatch(digest):
-            yield Fault(here, digest, _DIGEST_RULE)
-        first = path_by_digest.setdefault(digest, here)
-        if first != here:
-            yield Fault(here, digest, f'stands already at {first}')
+            yield Fault(digest_path, digest, _DIGEST_RULE)
+        first = path_by_digest.setdefault(digest, digest_path)
+        if first != digest_path:
+            yield Fault(digest_path, digest, f'already used at {first}')
 
 
 def _check_regions(index: SetIndex) -> Faults:
-    for at, region in enumerate(index.object_set.regions):
-        path = f'$.regions[{at}].egress_price_per_gb'
+    for position, region in enumerate(index.object_set.regions):
+        path = f'$.regions[{position}].egress_price_per_gb'
         yield from check_range(path, region.egress_price_per_gb, 0)
-    for at, domain in enumerate(index.object_set.failure_domains):
-        path = f'$.failure_domains[{at}].region'
+    for position, domain in enumerate(index.object_set.failure_domains):
+        path = f'$.failure_domains[{position}].region'
         yield from index.check_reference(path, 'regions', domain.region)
 
 
 def _check_teams(index: SetIndex) -> Faults:
-    for at, team in enumerate(index.object_set.teams):
-        path = f'$.teams[{at}]'
+    for position, team in enumerate(index.object_set.teams):
+        path = f'$.teams[{position}]'
         yield from check_positive(f'{path}.weight', team.weight)
         yield from check_positive(f'{path}.requests_per_s', team.requests_per_s)
         generations = team.concurrent_generations
         yield from check_range(f'{path}.concurrent_generations', generations, 1)
         if team.home_region:
             home = team.home_region
-            here = f'{path}.home_region'
-            yield from index.check_reference(here, 'regions', home)
+            home_path = f'{path}.home_region'
+            yield from index.check_reference(home_path, 'regions', home)
 
 
 def _check_models(index: SetIndex) -> Faults:
-    for at, model in enumerate(index.object_set.models):
-        path = f'$.models[{at}]'
+    for position, model in enumerate(index.object_set.models):
+        path = f'$.models[{position}]'
         if not model.versions:
             yield Fault(f'{path}.versions', (), 'expected at least one version')
         context_path = f'{path}.context_tokens'
@@ -124,8 +124,8 @@
 
 
 def _check_services(index: SetIndex) -> Faults:
-    for at, service in enumerate(index.object_set.services):
-        path = f'$.services[{at}]'
+    for position, service in enumerate(index.object_set.services):
+        path = f'$.services[{position}]'
         resume = service.resume
         attempts_path = f'{path}.resume.max_attempts'
         yield from check_range(attempts_path, resume.max_attempts, 1)
@@ -139,31 +139,35 @@
 
 def _check_calls(path: str, service: Service) -> Faults:
     if service.calls and service.kind is ServiceKind.MODEL:
-        yield Fault(path, service.kind, 'expected no calls of a model service')
+        yield Fault(path, service.kind, 'expected no calls in a model service')
     seen: set[tuple[str, str]] = set()
-    for at, call in enumerate(service.calls):
-        here = f'{path}[{at}]'
+    for position, call in enumerate(service.calls):
+        call_path = f'{path}[{position}]'
         if call.method not in METHODS:
             valid = list_valid(METHODS)
-            yield Fault(f'{here}.method', call.method, f'valid: {valid}')
+            yield Fault(f'{call_path}.method', call.method, f'valid: {valid}')
         if not call.path_prefix.startswith('/'):
             prefix = call.path_prefix
-            yield Fault(f'{here}.path_prefix', prefix, 'expected a leading /')
-        yield from check_positive(f'{here}.timeout_ms', call.timeout_ms)
+            yield Fault(
+                f'{call_path}.path_prefix', prefix, 'expected a leading /'
+            )
+        yield from check_positive(f'{call_path}.timeout_ms', call.timeout_ms)
         if (call.method, call.path_prefix) in seen:
-            yield Fault(here, call.path_prefix, 'stands already for the method')
+            yield Fault(
+                call_path, call.path_prefix, 'already used for this method'
+            )
         seen.add((call.method, call.path_prefix))
 
 
 def _check_upstreams(index: SetIndex) -> Faults:
     first_by_agent: dict[str, int] = {}
-    for at, upstream in enumerate(index.object_set.upstreams):
-        path = f'$.upstreams[{at}]'
+    for position, upstream in enumerate(index.object_set.upstreams):
+        path = f'$.upstreams[{position}]'
         yield from _check_upstream(index, path, upstream)
-        first = first_by_agent.setdefault(upstream.agent, at)
-        if first != at:
-            stands = f'stands already at $.upstreams[{first}]'
-            yield Fault(f'{path}.agent', upstream.agent, stands)
+        first = first_by_agent.setdefault(upstream.agent, position)
+        if first != position:
+            expected = f'already used at $.upstreams[{first}]'
+            yield Fault(f'{path}.agent', upstream.agent, expected)
 
 
 def _check_upstream(index: SetIndex, path: str, upstream: Upstream) -> Faults:
@@ -173,8 +177,8 @@
     yield from index.check_reference(domain_path, 'failure_domains', domain)
     yield from check_range(f'{path}.kv_capacity', upstream.kv_capacity, 0)
     yield from check_range(f'{path}.max_running', upstream.max_running, 0)
-    for at, pin in enumerate(upstream.models):
-        yield from index.check_pin(f'{path}.models[{at}]', pin)
+    for position, pin in enumerate(upstream.models):
+        yield from index.check_pin(f'{path}.models[{position}]', pin)
     if bool(upstream.models) == bool(upstream.service):
         expected = 'expected either models or a service'
         yield Fault(path, upstream.name, expected)
@@ -183,16 +187,16 @@
 
 
 def _check_service_kind(index: SetIndex, path: str, name: str) -> Faults:
-    here = f'{path}.service'
-    yield from index.check_reference(here, 'services', name)
+    service_path = f'{path}.service'
+    yield from index.check_reference(service_path, 'services', name)
     service = index.services_by_name.get(name)
     if service is not None and service.kind is ServiceKind.MODEL:
-        yield Fault(here, name, 'expected a plain service')
+        yield Fault(service_path, name, 'expected a plain service')
 
 
 def _check_stops(index: SetIndex) -> Faults:
-    for at, stop in enumerate(index.object_set.stops):
-        path = f'$.stops[{at}]'
+    for position, stop in enumerate(index.object_set.stops):
+        path = f'$.stops[{position}]'
         yield from check_address(f'{path}.address', stop.address)
         yield from _check_stop_times(path, stop)
 
--- a/bergamotthread/version/checks.py
+++ b/bergamotthread/version/checks.py
@@ -1,4 +1,4 @@
-"""Check of a whole set of objects before it is published."""
+"""Validation of a complete set of objects before it is published."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CheckError(BergamotError):
-    """One fault of a set, with its JSON path, value and what was expected."""
+    """One fault of a set: JSON path, offending value, what was expected."""
 
     def __init__(self, fault: Fault, *, source: str = '') -> None:
         prefix = f'{source}: ' if source else ''
@@ -38,12 +38,12 @@
 
 
 def check_object_set(object_set: ObjectSet, *, source: str = '') -> None:
-    """Check references, names, ranges and reachability of a whole set.
+    """Check references, names, ranges and reachability in a set.
 
     Parameters
     ----------
     source
-        File that the set came from, for the messages.
+        Name of the file with the set, for error messages.
 
     Raises
     ------
@@ -57,18 +57,18 @@
 
 
 def load_object_set(path: str | Path) -> ObjectSet:
-    """Return the checked set that a JSON file holds.
+    """Load and check a set of objects from a JSON file.
 
     Raises
     ------
     ObjectsError
-        If the file can't be read, is no valid JSON, or fails the check.
+        If the file can't be read, is not valid JSON, or fails the check.
     """
     source = str(path)
     try:
         encoded = Path(path).read_bytes()
     except OSError as error:
-        reason = error.strerror or 'can not be read'
+        reason = error.strerror or 'cannot be read'
         raise _as_group(Fault('$', source, reason), source) from error
     object_set = decode_object_set(encoded, source=source)
     check_object_set(object_set, source=source)
@@ -76,12 +76,13 @@
 
 
 def decode_object_set(encoded: bytes, *, source: str = '') -> ObjectSet:
-    """Return the set that JSON bytes hold, not yet checked as a whole.
+    """Decode a set of objects from JSON, without checking it as a whole.
 
     Raises
     ------
     ObjectsError
-        With the path, the value and what was expected there.
+        If the bytes do not decode, with the JSON path, the offending value
+        and what was expected.
     """
     if len(encoded) > MAX_SET_BYTES:
         expected = f'expected at most {MAX_SET_BYTES} bytes'
@@ -94,7 +95,7 @@
 
 def _as_group(fault: Fault, source: str) -> ObjectsError:
     return ObjectsError(
-        'the set of objects can not be read',
+        'the set of objects cannot be read',
         [CheckError(fault, source=source)],
     )
 
--- a/bergamotthread/version/diff.py
+++ b/bergamotthread/version/diff.py
@@ -1,4 +1,4 @@
-"""Differences between two sets: for machines as change sets, and as text."""
+"""Differences between two sets of objects, as change sets and as text."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """What turns one set into the next.
+    """Changes that turn one set into the next.
 
-    `upserts` holds added and changed objects, and the outage lease of the next
-    set whether it changed or not.
+    `upserts` holds added and changed objects. Its `outage_lease_ms` is that of
+    the next set, even if it did not change.
     """
 
     upserts: ObjectSet = ObjectSet()
@@ -45,9 +45,9 @@
     def names(self) -> frozenset[ObjectName]:
         """Return the names of all objects that the change set touches."""
         upserted = (
-            ObjectName(kind, one.name)
+            ObjectName(kind, upsert.name)
             for kind in KINDS
-            for one in getattr(self.upserts, kind)
+            for upsert in getattr(self.upserts, kind)
         )
         return frozenset(upserted) | frozenset(self.removals)
 
@@ -63,9 +63,9 @@
         old_by_name = _index(old, kind)
         new_by_name = _index(new, kind)
         upserts_by_kind[kind] = tuple(
-            one
-            for name, one in new_by_name.items()
-            if old_by_name.get(name) != one
+            new_object
+            for name, new_object in new_by_name.items()
+            if old_by_name.get(name) != new_object
         )
         removals.extend(
             ObjectName(kind, name)
@@ -77,14 +77,14 @@
 
 
 def apply_changes(old: ObjectSet, changes: ChangeSet) -> ObjectSet:
-    """Return the set that `changes` turns `old` into.
+    """Return `old` with `changes` applied.
 
-    Objects keep their places; added ones come last within their kind.
+    Objects keep their order; added ones come last within their kind.
     """
     changed_by_kind: dict[str, tuple[Any, ...]] = {}
-    touched = {one.kind for one in changes.names()}
+    changed_kinds = {name.kind for name in changes.names()}
     for kind in KINDS:
-        if kind not in touched:
+        if kind not in changed_kinds:
             continue
         by_name = _index(old, kind) | _index(changes.upserts, kind)
         for removal in changes.removals:
@@ -99,7 +99,7 @@
 
 
 def render_diff(old: ObjectSet, new: ObjectSet) -> str:
-    """Return the difference as text, a line for each object or field.
+    """Return the difference as text, one line per object or field.
 
     Added objects are marked `+`, removed ones `-`, changed fields `~`.
     """
@@ -107,7 +107,7 @@
 
 
 def _index(object_set: ObjectSet, kind: str) -> dict[str, Any]:
-    return {one.name: one for one in getattr(object_set, kind)}
+    return {named.name: named for named in getattr(object_set, kind)}
 
 
 def _render_lines(old: ObjectSet, new: ObjectSet) -> Iterator[str]:
@@ -116,12 +116,14 @@
         yield f'- {removal}'
     for kind in KINDS:
         old_by_name = _index(old, kind)
-        for one in getattr(changes.upserts, kind):
-            before = old_by_name.get(one.name)
-            if before is None:
-                yield f'+ {kind}/{one.name}'
+        for upsert in getattr(changes.upserts, kind):
+            old_object = old_by_name.get(upsert.name)
+            if old_object is None:
+                yield f'+ {kind}/{upsert.name}'
             else:
-                yield from _render_fields(f'{kind}/{one.name}', before, one)
+                yield from _render_fields(
+                    f'{kind}/{upsert.name}', old_object, upsert
+                )
     if old.outage_lease_ms != new.outage_lease_ms:
         yield f'~ {_render_field("outage_lease_ms", old, new)}'
 
--- a/bergamotthread/version/distribution.py
+++ b/bergamotthread/version/distribution.py
@@ -1,4 +1,4 @@
-"""The published version that a process holds and may admit requests by."""
+"""Distribution of published versions to processes that admit requests."""
 
 from __future__ import annotations
 
@@ -64,20 +64,21 @@
 class VersionHolder:
     """Holds the newest published version known to this process.
 
-    A few readers of a group read the table; the others ask them. An answer
-    carries its proof's age, so that the asker counts its lease from the moment
-    at which it asked, less that age.
+    A few processes of each group, the readers, read the table; the others ask
+    them. A reply carries the age of the sender's proof, so that the lease of
+    the process that asked runs from the time of its request minus that age.
 
     Parameters
     ----------
     table, object_store
-        None where the process may not use the platform, as at an agent. It
-        asks its peers less often and relies on what they pass on, so its lease
-        lapses: it follows the version but admits nothing by it.
+        None if the process has no access to the platform, such as an agent.
+        It asks its peers less often and relies on their notifications, so its
+        lease expires: it follows the version but admits no requests by it.
     peers
-        Addresses to ask; those of the own region, where there are any.
+        Returns the addresses to ask: those in the same region if there are
+        any.
     place
-        Where the process runs; None where it is not to be registered.
+        Where the process runs; None if it is not to be registered.
     """
 
     def __init__(
@@ -106,7 +107,7 @@
         self._sources = SourceChoice(transport.address)
         self._requests = PendingRequests(transport.incarnation)
         self._proof = asyncio.Event()
-        self._why = 'nothing was heard yet'
+        self._why = 'no version received yet'
         self._register_after_ms = -math.inf
         self._heard_ask_after_ms = -math.inf
         self._is_closed = False
@@ -117,7 +118,7 @@
         object_set: ObjectSet,
         version: int = 1,
     ) -> VersionHolder:
-        """Return a holder of one fixed set, for tests and demonstrations."""
+        """Return a holder with one fixed set, for tests and demonstrations."""
         holder = cls(None, None, _NoTransport(), Clock.from_system(), tuple)
         holder._adopt(VersionState(version, object_set=object_set), ())
         holder.lease.prove(math.inf)
@@ -125,11 +126,11 @@
 
     @property
     def version(self) -> int:
-        """Return the number of the version in force, 0 where there is none."""
+        """Return the number of the version in force, 0 if there is none."""
         return self._state.version
 
     def may_admit(self) -> Refusal | None:
-        """Return None, or the refusal that a new request is answered with."""
+        """Return the refusal for new requests, or None if they are admitted."""
         now_ms = self._clock.now_ms()
         if self.current is None or self._is_closed:
             return self._refuse('no configuration is in force', {})
@@ -141,14 +142,14 @@
         }
         if math.isinf(self.lease.proven_ms):
             figures.pop('proof_age_ms')
-        return self._refuse('the lease on the configuration lapsed', figures)
+        return self._refuse('the lease on the configuration expired', figures)
 
     def admit(self) -> PublishedVersion:
         """Return the version by which to decide on a request now.
 
-        The decision must follow without an `await` in between, and be made
-        anew after one, such as after the body was read: the lease may have
-        lapsed meanwhile.
+        The decision must follow without an `await` in between. After an
+        `await`, such as reading the body, call `admit` again: the lease may
+        have expired in the meantime.
 
         Raises
         ------
@@ -163,7 +164,7 @@
         return self.current
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message from a peer; others are passed over."""
+        """Handle a message from a peer; ignore messages of other kinds."""
         peer = envelope.sender
         match envelope.message:
             case ConfigRequest(version=version, nonce=nonce):
@@ -179,7 +180,7 @@
                 self.on_version_heard(peer, version)
 
     def on_version_heard(self, peer: str, version: int) -> None:
-        """Ask a peer that is known to hold a newer version."""
+        """Ask a peer for its version if that is newer than the one held."""
         now_ms = self._clock.now_ms()
         if version > self.version and now_ms >= self._heard_ask_after_ms:
             self._heard_ask_after_ms = now_ms + HEARD_ASK_INTERVAL_MS
@@ -193,13 +194,13 @@
                 tasks.create_task(self._read_table(self._table))
 
     async def wait_serving(self) -> None:
-        """Return once requests may be admitted by the current version."""
+        """Return once requests may be admitted."""
         while self.may_admit() is not None:
             self._proof.clear()
             await self._proof.wait()
 
     async def close(self) -> None:
-        """Stop admitting for good, and say so in the table."""
+        """Stop admitting requests permanently and remove the registration."""
         self._is_closed = True
         if self._registration is not None:
             await self._registration.remove()
@@ -261,7 +262,7 @@
         asked_ms = self._clock.now_ms()
         row = await table.read(VERSION_KEY)
         if row is None:
-            self._why = 'nothing is published'
+            self._why = 'no version is published'
             return
         newest = decode_record(row.body, VersionRow)
         if newest.version < held_version:
@@ -280,7 +281,9 @@
         held = self._state
         state = await self._archive.newest(newest, held)
         inline = tuple(
-            one for one in newest.recent if one.version > held.version
+            publication
+            for publication in newest.recent
+            if publication.version > held.version
         )
         self._adopt(state, inline)
 
@@ -303,7 +306,7 @@
         except BergamotError as error:
             logging.log_every_n_seconds(
                 logging.WARNING,
-                'not registered: %s',
+                'registration of the version in force failed: %s',
                 LOG_INTERVAL_S,
                 error,
             )
@@ -351,7 +354,7 @@
             bundle = decode_record(document, Bundle)
             state, publications = follow_bundle(self._state, bundle)
         except BergamotError as error:
-            logging.warning('bundle from %s not taken: %s', peer, error)
+            logging.warning('bundle from %s discarded: %s', peer, error)
             return
         self._adopt(state, publications)
 
@@ -360,9 +363,9 @@
         state: VersionState,
         publications: tuple[Publication, ...],
     ) -> None:
-        """Put a newer version in force and pass it on to those who ask here."""
-        before = self.version
-        if state.version <= before:
+        """Put a newer version in force and send it to peers that ask here."""
+        old_version = self.version
+        if state.version <= old_version:
             return
         self.current = PublishedVersion.from_object_set(
             state.version,
@@ -370,7 +373,9 @@
         )
         self._state = state
         self.lease.forget_registration()
-        logging.info('version %d in force, before %d', state.version, before)
+        logging.info(
+            'version %d in force, previously %d', state.version, old_version
+        )
         self._relay.adopt(state, publications)
 
     def _prove(self, moment_ms: float) -> None:
@@ -382,16 +387,16 @@
 
 
 class _NoTransport(Transport):
-    """Transport of a holder that has no peers."""
+    """Transport for a holder without peers."""
 
     address = ''
     incarnation = 0
 
     def send(self, peer: str, message: Message) -> None:
-        """Send nothing."""
+        """Discard the message."""
 
     def start(self, receiver: Receiver) -> None:
-        """Receive nothing."""
+        """Do nothing, since no messages arrive."""
 
     def close(self) -> None:
-        """Hold nothing open."""
+        """Do nothing, since nothing is open."""
--- a/bergamotthread/version/faults.py
+++ b/bergamotthread/version/faults.py
@@ -1,4 +1,4 @@
-"""Fault of a set of objects, and the wording of what is valid."""
+"""Faults of a set of objects, and checks of numbers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Value at a JSON path that breaks a rule.
+    """Value at a JSON path that violates a rule.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     found
         The offending value.
     expected
-        What was expected there, with the valid values where they are few.
+        What was expected, with the valid values if there are few.
     """
 
     path: str
@@ -38,7 +38,7 @@
 
 
 def list_valid(names: Iterable[str]) -> str:
-    """Return the valid names as text, the first few of them."""
+    """Return the first valid names, sorted, and the number of the others."""
     ordered = sorted(names)
     shown = ', '.join(ordered[:MAX_LISTED_NAMES]) or 'none is defined'
     hidden = len(ordered) - MAX_LISTED_NAMES
@@ -51,12 +51,12 @@
     low: float,
     high: float = math.inf,
 ) -> Iterator[Fault]:
-    """Yield a fault where a number is not in a closed range."""
+    """Yield a fault if a number is outside a closed range."""
     if not low <= number <= high or not math.isfinite(number):
         yield Fault(path, number, f'expected a number from {low} to {high}')
 
 
 def check_positive(path: str, number: float) -> Iterator[Fault]:
-    """Yield a fault where a number is not finite and above 0."""
+    """Yield a fault if a number is not finite and above 0."""
     if number <= 0 or not math.isfinite(number):
         yield Fault(path, number, 'expected a finite number above 0')
--- a/bergamotthread/version/lease.py
+++ b/bergamotthread/version/lease.py
@@ -1,4 +1,4 @@
-"""Lease within which a process may admit requests by its version."""
+"""Lease during which a process may admit requests by its version."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 class VersionLease:
     """Lease on the version in force, on the process's own monotonic clock.
 
-    A proof is a moment at which the table held no newer version than the one
-    that this process now has. The lease runs from that moment, so that every
-    process which still has an older version stops within the lease after a
-    publication took effect, also when it was paused meanwhile.
+    A proof is a time at which the table held no newer version than the one
+    that this process has. The lease runs from that time, so that after a
+    publication every process with an older version stops admitting requests
+    within the lease, even if it was paused in between.
 
     Parameters
     ----------
     proven_ms
-        Latest proof.
+        Time of the latest proof.
     registered_ms
-        When the table acknowledged the registration of the version in force;
-        infinite where it has not.
+        Time at which the table acknowledged the registration of the version
+        in force; infinite if it has not.
     outage_lease_ms
         Length of the lease once a proof is later than the registration.
     """
@@ -34,32 +34,32 @@
     outage_lease_ms: float = 0
 
     def prove(self, moment_ms: float) -> None:
-        """Take in a proof; an earlier one than the latest changes nothing."""
+        """Record a proof; ignored if a later one is known."""
         self.proven_ms = max(self.proven_ms, moment_ms)
 
     def register(self, now_ms: float, outage_lease_ms: float) -> None:
-        """Note that the version in force is registered since `now_ms`."""
+        """Record that the version in force is registered as of `now_ms`."""
         self.registered_ms = now_ms
         self.outage_lease_ms = outage_lease_ms
 
     def forget_registration(self) -> None:
-        """Note that the version in force is not registered."""
+        """Record that the version in force is not registered."""
         self.registered_ms = math.inf
 
     def length_ms(self) -> float:
-        """Return how long the lease runs from the latest proof."""
+        """Return the length of the lease, counted from the latest proof."""
         if self.proven_ms > self.registered_ms:
             return max(VERSION_LEASE_MS, self.outage_lease_ms)
         return VERSION_LEASE_MS
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return how long the lease still runs, negative where it lapsed."""
+        """Return the remaining time, negative if the lease has expired."""
         return self.proven_ms + self.length_ms() - now_ms
 
 
 def lapse_ms(lease_ms: float) -> float:
-    """Return after how long another process's lease has lapsed for sure.
+    """Return the time after which another process's lease has expired.
 
-    Clocks of two processes may differ in rate by `CLOCK_DRIFT`.
+    The rates of two processes' clocks may differ by `CLOCK_DRIFT`.
     """
     return max(lease_ms, VERSION_LEASE_MS) * (1 + CLOCK_DRIFT)
--- a/bergamotthread/version/objects.py
+++ b/bergamotthread/version/objects.py
@@ -1,6 +1,6 @@
-"""Operators' objects, as one published version holds them.
+"""Configuration objects that operators publish.
 
-All are frozen `msgspec` structures that refuse unknown fields. Objects refer
+All are frozen `msgspec` structures that reject unknown fields. Objects refer
 to one another by name; `bergamotthread.version.checks` checks the whole set.
 """
 
@@ -19,13 +19,13 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """Base of operators' objects."""
+    """Base of configuration objects."""
 
     name: str
 
 
 class Region(_Object, frozen=True):
-    """Region and the price of traffic that leaves it, in cost units per GB."""
+    """Region and the price of its outgoing traffic, in cost units per GB."""
 
     egress_price_per_gb: float = 0
 
@@ -37,7 +37,7 @@
 
 
 class Team(_Object, frozen=True):
-    """Customer of the service with its share and its credentials.
+    """Customer of the service with its limits and credentials.
 
     `credential_hashes` are SHA-256 digests of bearer credentials in hex.
     """
@@ -50,7 +50,7 @@
 
 
 class Operator(_Object, frozen=True):
-    """Person or program that may publish, drain and resolve."""
+    """Person or program that may publish, drain hosts and resolve calls."""
 
     credential_hashes: tuple[str, ...] = ()
 
@@ -76,7 +76,7 @@
     frozen=True,
     forbid_unknown_fields=True,
 ):
-    """Resume latency against extra resource use, for one service.
+    """Trade-off between resume latency and extra resource use of a service.
 
     `standby_after_tokens` is the prefix length from which a standby is worth
     its compute; `cross_region` allows an upstream in another region.
@@ -93,7 +93,7 @@
     frozen=True,
     forbid_unknown_fields=True,
 ):
-    """Calls of a plain service that one method and path prefix select."""
+    """Rule for the calls of a plain service with a method and path prefix."""
 
     method: str
     path_prefix: str
@@ -102,7 +102,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind a service."""
+    """Kind of upstreams that serve a service."""
 
     MODEL = 'model'
     PLAIN = 'plain'
@@ -119,10 +119,10 @@
 
 
 class Route(_Object, frozen=True):
-    """Leads requests of a service and a model name to a pinned model.
+    """Maps requests for a service and a model name to a pinned model.
 
-    `teams` is empty where every team may use the route; `fallback` names a
-    route of the same pin's service to try where this one has no upstream.
+    `teams` is empty if every team may use the route; `fallback` names a route
+    of the same service to try if this one has no upstream.
     """
 
     service: str
@@ -135,7 +135,7 @@
 
 
 class Upstream(_Object, frozen=True):
-    """Model engine or plain service, by the address of the agent beside it."""
+    """Model engine or plain service, at the address of its agent."""
 
     agent: str
     failure_domain: str
@@ -166,9 +166,9 @@
 ):
     """All objects of one version.
 
-    `outage_lease_ms` is how long a registered process may go on admitting
-    requests by its version without proof that no newer one is published;
-    0 means the version lease alone.
+    `outage_lease_ms` is how long a registered process may continue to admit
+    requests by its version without proof that no newer one is published; 0
+    leaves only the version lease.
     """
 
     regions: tuple[Region, ...] = ()
--- a/bergamotthread/version/operators.py
+++ b/bergamotthread/version/operators.py
@@ -1,4 +1,4 @@
-"""Recognition of operators by their credentials."""
+"""Lookup of operators by their credentials."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 def find_operator(object_set: ObjectSet, credential: str) -> Operator:
-    """Return the operator whose credential it is.
+    """Return the operator that a credential belongs to.
 
     Raises
     ------
     BergamotError
-        If no operator of the set has the credential; it is not shown.
+        If no operator of the set has the credential, which the message does
+        not show.
     """
     digest = hashlib.sha256(credential.encode()).hexdigest()
     for operator in object_set.operators:
--- a/bergamotthread/version/publication.py
+++ b/bergamotthread/version/publication.py
@@ -1,4 +1,4 @@
-"""Publishing of a new version by compare-and-set on one row."""
+"""Publication of new versions by compare-and-set on one row."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
 
 
 class PublicationConflictError(BergamotError):
-    """Another version was published since the one that was edited.
+    """Another version was published after the base version of a draft.
 
     Parameters
     ----------
     newer
-        The publications since then, oldest first.
+        Publications after the base version, oldest first.
     clashes
-        Objects that both sides changed; empty where that was not compared.
+        Objects that both sides changed; empty if that was not compared.
     """
 
     def __init__(
@@ -62,13 +62,18 @@
         clashes: frozenset[ObjectName],
     ) -> None:
         shown = newer[-MAX_SHOWN_PUBLICATIONS:]
-        named = '; '.join(describe_publication(one) for one in shown)
+        descriptions = '; '.join(
+            describe_publication(publication) for publication in shown
+        )
         hidden = len(newer) - len(shown)
         earlier = f'{hidden} earlier ones; ' if hidden else ''
-        both = ', '.join(str(one) for one in sorted(clashes))
-        changed_by_both = f'; changed by both: {both}' if both else ''
+        clash_names = ', '.join(str(name) for name in sorted(clashes))
+        changed_by_both = (
+            f'; changed by both: {clash_names}' if clash_names else ''
+        )
         super().__init__(
-            f'published meanwhile: {earlier}{named}{changed_by_both}',
+            f'published since the base version: {earlier}{descriptions}'
+            f'{changed_by_both}',
             step=Step.PUBLISH,
         )
         self.newer = newer
@@ -77,7 +82,7 @@
 
 @dataclass(frozen=True)
 class NewestVersion:
-    """The newest row with its revision and the version that it names."""
+    """Newest version row, its revision, and the state of that version."""
 
     row: VersionRow | None
     revision: int
@@ -86,15 +91,15 @@
 
 @dataclass(frozen=True)
 class Draft:
-    """What an operator asks to publish.
+    """Set of objects that an operator asks to publish.
 
     Parameters
     ----------
     base
         Version that the set was edited from, 0 for the first publication.
     rebase
-        Whether changes of others since `base` are kept, where they touch other
-        objects than this draft does.
+        Whether to merge with changes that others published after `base`, if
+        they touch other objects than this draft does.
     """
 
     object_set: ObjectSet
@@ -131,18 +136,19 @@
         """Check a draft as a whole and publish it as the next version.
 
         A draft that changes nothing is not published; the newest version is
-        returned as it is.
+        returned.
 
         Raises
         ------
         ObjectsError
             If the set is not valid.
         PublicationConflictError
-            If another version was published since `draft.base`.
+            If another version was published after `draft.base`.
         PublicationUnknownError
-            If the store gave no answer; `status` tells later.
+            If the store did not answer the write, so that its outcome is
+            unknown; `status` shows it later.
         StoreUnavailableError
-            If nothing was written because the store gave no answer.
+            If the store did not answer and nothing was written.
         """
         check_object_set(draft.object_set)
         newest = await self.newest()
@@ -175,7 +181,7 @@
         return await self.publish(Draft(state.object_set, who, base, note))
 
     async def _back_off(self, attempt: int) -> None:
-        """Wait at random, so that racing publishers write one at a time."""
+        """Wait a random time, so that concurrent publishers rarely collide."""
         longest_ms = min(BACKOFF_MS * 2**attempt, MAX_BACKOFF_MS)
         await self.clock.sleep_ms(self.rng.random() * longest_ms)
 
@@ -208,7 +214,7 @@
         changes: ChangeSet,
         newest: NewestVersion,
     ) -> NewestVersion | None:
-        """Write one publication; None where another one came first."""
+        """Write one publication; return None if another one came first."""
         publication = self._publication(draft, changes, newest.state)
         state = newest.state.follow(publication)
         row = await self._put_objects(publication, state, newest.row)
@@ -228,7 +234,7 @@
         changes: ChangeSet,
         state: VersionState,
     ) -> Publication:
-        bare = Publication(
+        undigested = Publication(
             version=state.version + 1,
             publication_id=secrets.token_hex(PUBLICATION_ID_BYTES),
             previous_id=state.publication_id,
@@ -237,10 +243,11 @@
             changes=changes,
             note=draft.note,
         )
-        # Numbers are encoded as they come back from JSON, as the digest is.
-        bare = decode_record(encode_record(bare), Publication)
-        digest = bare.digest_after(state.digest)
-        return msgspec.structs.replace(bare, digest=digest)
+        # The digest is checked on decoded records, and JSON may change the
+        # type of numbers, so the record is decoded once before hashing.
+        undigested = decode_record(encode_record(undigested), Publication)
+        digest = undigested.digest_after(state.digest)
+        return msgspec.structs.replace(undigested, digest=digest)
 
     async def _put_objects(
         self,
@@ -248,7 +255,10 @@
         state: VersionState,
         before: VersionRow | None,
     ) -> VersionRow:
-        """Store what the next row names; only a row that is written counts."""
+        """Store the objects that the next row names, and return that row.
+
+        They have no effect until the row is written.
+        """
         tail = await self._tail_after(publication, before)
         name = tail_name(publication.publication_id)
         await self.archive.store.put(name, encode_record(tail))
@@ -280,13 +290,13 @@
             return Tail((publication,), '', 0)
         earlier = await self.archive.tail(before.publication_id)
         since_snapshot = tuple(
-            one
-            for one in earlier.publications
-            if one.version > before.snapshot_version
+            previous
+            for previous in earlier.publications
+            if previous.version > before.snapshot_version
         )
-        room = TAIL_BYTES - len(encode_record(publication))
+        remaining_bytes = TAIL_BYTES - len(encode_record(publication))
         return Tail(
-            (*trim_publications(since_snapshot, room), publication),
+            (*trim_publications(since_snapshot, remaining_bytes), publication),
             before.snapshot,
             before.snapshot_version,
         )
@@ -315,23 +325,23 @@
     newest: VersionState,
     newer: tuple[Publication, ...],
 ) -> Draft:
-    """Return the draft as an edit of the newest version.
+    """Return the draft rebased onto the newest version.
 
     Raises
     ------
     ObjectsError
-        If the changes of both sides together are not valid.
+        If the merged set is not valid.
     PublicationConflictError
         If both sides changed the same object.
     """
-    own = diff_sets(base.object_set, draft.object_set)
-    theirs = frozenset[ObjectName]().union(
-        *(one.changes.names() for one in newer),
+    own_changes = diff_sets(base.object_set, draft.object_set)
+    names_changed_since = frozenset[ObjectName]().union(
+        *(publication.changes.names() for publication in newer),
     )
-    clashes = own.names() & theirs
+    clashes = own_changes.names() & names_changed_since
     if clashes:
         raise PublicationConflictError(newer, clashes)
-    merged = apply_changes(newest.object_set, own)
+    merged = apply_changes(newest.object_set, own_changes)
     if draft.object_set.outage_lease_ms == base.object_set.outage_lease_ms:
         lease_ms = newest.object_set.outage_lease_ms
         merged = msgspec.structs.replace(merged, outage_lease_ms=lease_ms)
@@ -340,13 +350,13 @@
 
 
 def describe_publication(publication: Publication) -> str:
-    """Return version, publisher and touched objects as one line."""
+    """Return version, publisher and changed objects as one line."""
     names = sorted(publication.changes.names())
-    touched = ', '.join(str(one) for one in names[:MAX_SHOWN_OBJECTS])
+    changed = ', '.join(str(name) for name in names[:MAX_SHOWN_OBJECTS])
     hidden = len(names) - MAX_SHOWN_OBJECTS
     more = f' and {hidden} more' if hidden > 0 else ''
     note = f' ({publication.note})' if publication.note else ''
     return (
         f'version {publication.version} by {publication.who}{note}: '
-        f'{touched or "outage_lease_ms"}{more}'
+        f'{changed or "outage_lease_ms"}{more}'
     )
--- a/bergamotthread/version/publication_write.py
+++ b/bergamotthread/version/publication_write.py
@@ -1,4 +1,4 @@
-"""Write of the version row, repeated until its outcome is known."""
+"""Writes the version row, with retries until the outcome is known."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class PublicationUnknownError(BergamotError):
-    """The store did not say whether the publication took effect."""
+    """The store did not answer whether the publication took effect."""
 
 
 class WriteState(enum.StrEnum):
-    """What is known of the write of a publication.
+    """State of the write of a publication.
 
-    `UNANSWERED` says that it was sent at least once and may have taken effect;
-    `ABANDONED` that it was never sent.
+    `UNANSWERED`: it was sent at least once and may have taken effect.
+    `ABANDONED`: it was never sent.
     """
 
     UNSENT = 'unsent'
@@ -59,9 +59,10 @@
 class PublicationWrite:
     """Writes one version row with one expected revision.
 
-    An answer that is lost leaves two possibilities. The same write with the
-    same expected revision is repeated, so that it takes effect at most once; a
-    conflict is then told apart by the publication id.
+    If an answer is lost, the write may or may not have taken effect. It is
+    repeated with the same expected revision, so that it takes effect at most
+    once. On a conflict, the publication id in the history shows whether the
+    conflicting row contains this publication or another one came first.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         self._machine = Machine(
             model=self,
             states=WriteState,
-            transitions=[list(one) for one in _TRANSITIONS],
+            transitions=[list(transition) for transition in _TRANSITIONS],
             initial=WriteState.UNSENT,
             auto_transitions=False,
         )
@@ -92,22 +93,22 @@
         Returns
         -------
         int or None
-            The row's revision; None where another publication came first.
+            The row's revision, or None if another publication came first.
 
         Raises
         ------
         PublicationUnknownError
-            If the write was sent and no answer came in time.
+            If the write was sent and not answered in time.
         StoreUnavailableError
             If the write was never sent.
         """
-        give_up_ms = self._clock.now_ms() + WRITE_TIMEOUT_MS
+        deadline_ms = self._clock.now_ms() + WRITE_TIMEOUT_MS
         body = encode_record(self._row)
         while True:
             try:
                 return await self._attempt(body)
             except StoreUnavailableError as error:
-                if self._clock.now_ms() >= give_up_ms:
+                if self._clock.now_ms() >= deadline_ms:
                     self._raise_final(error)
             await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
@@ -129,14 +130,16 @@
         return row.revision
 
     async def _recognise(self) -> int | None:
-        """Return the revision if the row's history holds this publication."""
+        """Return the revision if the row's history has this publication."""
         found = await self._table.read(VERSION_KEY)
         if found is not None:
             newest = decode_record(found.body, VersionRow)
             since = self._row.version - 1
             history = await self._archive.publications(newest, since)
             own_id = self._row.publication_id
-            if any(one.publication_id == own_id for one in history):
+            if any(
+                publication.publication_id == own_id for publication in history
+            ):
                 self._trigger('confirm')
                 return found.revision
         self._trigger('overtake')
--- a/bergamotthread/version/published.py
+++ b/bergamotthread/version/published.py
@@ -1,4 +1,4 @@
-"""One published version, indexed for use by requests."""
+"""One published version, indexed for lookups by requests."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def _index_by_name(named: tuple[_Object, ...]) -> dict[str, _Object]:
-    return {one.name: one for one in named}
+    return {indexed.name: indexed for indexed in named}
 
 
 @dataclass(frozen=True)
 class PublishedVersion:
-    """Version number, its set, and the set's objects by name."""
+    """Version number, set of objects, and indexes of the objects."""
 
     version: int
     object_set: ObjectSet
@@ -50,7 +50,7 @@
         version: int,
         object_set: ObjectSet,
     ) -> PublishedVersion:
-        """Index a checked set."""
+        """Return the index of a checked set."""
         return cls(
             version=version,
             object_set=object_set,
@@ -71,5 +71,5 @@
         )
 
     def region_of(self, upstream: Upstream) -> str:
-        """Return the name of the region that an upstream stands in."""
+        """Return the name of the region that an upstream is in."""
         return self.failure_domains_by_name[upstream.failure_domain].region
--- a/bergamotthread/version/record.py
+++ b/bergamotthread/version/record.py
@@ -1,4 +1,4 @@
-"""What the platform keeps of versions: publications, snapshots, one row."""
+"""Stored records of versions: publications, snapshots, the version row."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ChainError(BergamotError):
-    """A publication does not continue the version that it should follow."""
+    """A publication does not follow the version that it was applied to."""
 
 
 class _Record(
@@ -30,20 +30,20 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """Base of records."""
+    """Base of stored records."""
 
 
 class Publication(_Record, frozen=True):
-    """One published version as a change to the one before.
+    """One published version as a change to the previous one.
 
     Parameters
     ----------
     publication_id, previous_id
-        Random ids of this publication and of the version before it.
+        Random ids of this publication and of the previous one.
     published_ms
         Milliseconds since the Unix epoch by the publisher's calendar clock.
     digest
-        SHA-256 in hex of the digest before and of this record without it.
+        SHA-256 in hex of the previous digest and this record without its own.
     """
 
     version: int
@@ -56,14 +56,14 @@
     digest: str = ''
 
     def digest_after(self, previous_digest: str) -> str:
-        """Return the digest that this record has after `previous_digest`."""
-        bare = msgspec.structs.replace(self, digest='')
-        chained = previous_digest.encode() + msgspec.json.encode(bare)
+        """Return the digest of this record if it follows `previous_digest`."""
+        undigested = msgspec.structs.replace(self, digest='')
+        chained = previous_digest.encode() + msgspec.json.encode(undigested)
         return hashlib.sha256(chained).hexdigest()
 
 
 class Snapshot(_Record, frozen=True):
-    """Whole set of one version."""
+    """Complete set of objects of one version."""
 
     version: int
     publication_id: str
@@ -72,10 +72,10 @@
 
 
 class Tail(_Record, frozen=True):
-    """A publication with those before it, oldest first, as the store has it.
+    """A publication and the preceding ones, oldest first.
 
-    They go back to the snapshot that they build upon, as far as they fit
-    `TAIL_BYTES`; the snapshot's name is empty where there was none.
+    They start after the snapshot `snapshot`, or later if they would exceed
+    `TAIL_BYTES`; `snapshot` is empty if there was none.
     """
 
     publications: tuple[Publication, ...]
@@ -84,11 +84,10 @@
 
 
 class VersionRow(_Record, frozen=True):
-    """Body of the one row that says which version is the newest.
+    """Body of the row that names the newest version.
 
-    `recent` are the newest publications, oldest first, as far as they fit
-    `INLINE_BYTES`; `snapshot` names the newest snapshot and
-    `snapshot_version` is its version.
+    `recent` are the newest publications that fit `INLINE_BYTES`, oldest first;
+    `snapshot` names the newest snapshot and `snapshot_version` is its version.
     """
 
     version: int
@@ -103,7 +102,7 @@
 
 
 class Bundle(_Record, frozen=True):
-    """Versions that one process hands to another, oldest first."""
+    """Versions that one process sends to another, oldest first."""
 
     publications: tuple[Publication, ...] = ()
     snapshot: Snapshot | None = None
@@ -111,7 +110,7 @@
 
 @dataclass(frozen=True)
 class VersionState:
-    """A version with its place in the chain of publications."""
+    """State after a publication: its version, id, digest and set of objects."""
 
     version: int = 0
     publication_id: str = ''
@@ -165,7 +164,7 @@
 
 
 def decode_record(encoded: bytes, kind: type[_Decoded]) -> _Decoded:
-    """Return the record that JSON bytes hold.
+    """Decode a record from JSON.
 
     Raises
     ------
@@ -180,7 +179,7 @@
 
 
 def tail_name(publication_id: str) -> str:
-    """Return the object name of a publication with those before it."""
+    """Return the object name of a publication's `Tail`."""
     return f'{PUBLICATION_PREFIX}{publication_id}'
 
 
@@ -193,7 +192,7 @@
     publications: tuple[Publication, ...],
     max_bytes: int,
 ) -> tuple[Publication, ...]:
-    """Return the newest publications that fit `max_bytes` together."""
+    """Return the newest publications whose total size fits `max_bytes`."""
     kept: list[Publication] = []
     for publication in reversed(publications):
         max_bytes -= len(encode_record(publication))
--- a/bergamotthread/version/registration.py
+++ b/bergamotthread/version/registration.py
@@ -1,4 +1,4 @@
-"""Rows by which processes tell the table what version they have in force."""
+"""Registration of the version that each process has in force, as rows."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     omit_defaults=True,
     forbid_unknown_fields=True,
 ):
-    """Version in force at one process, and how long it may outlast proof."""
+    """Version in force at one process, and its outage lease."""
 
     address: str
     region: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class StoredHolder:
-    """Holder row with its place in the table."""
+    """Holder row with its key and revision in the table."""
 
     key: str
     revision: int
@@ -47,10 +47,10 @@
 class Registration:
     """Writes the holder row of this process.
 
-    A key that was deleted is never used again, so that a delayed deletion
-    can't hit a row that was written anew. The first write removes the rows of
-    earlier incarnations at the same address: the process has bound it, so no
-    earlier one serves there.
+    A deleted key is never used again, so that a delayed deletion can't remove
+    a row that was written later. The first write removes the rows of earlier
+    incarnations at the same address: this process has bound the address, so no
+    earlier one is still serving there.
     """
 
     def __init__(
@@ -68,14 +68,14 @@
         self.recorded: HolderRow | None = None
 
     async def record(self, version: int, outage_lease_ms: int) -> None:
-        """Write the version in force; returns once the table has it.
+        """Write the version in force and return once the table has it.
 
         Raises
         ------
         StoreUnavailableError
             If the table did not answer.
         StoreConflictError
-            If the row was changed by others again and again.
+            If the row was changed by others before each of two writes.
         """
         holder = HolderRow(
             self._place.address,
@@ -95,15 +95,15 @@
         self.recorded = holder
 
     async def remove(self) -> None:
-        """Delete the row of a process that admits nothing any more."""
+        """Delete the row, once this process admits no more requests."""
         if self._revision:
             await self._table.delete(self._key(), expected=self._revision)
             self._start_new_key()
 
     async def _remove_earlier(self) -> None:
-        for one in await read_holders(self._table, self._place.address):
-            if one.incarnation < self._incarnation:
-                await self._table.delete(one.key, expected=one.revision)
+        for stored in await read_holders(self._table, self._place.address):
+            if stored.incarnation < self._incarnation:
+                await self._table.delete(stored.key, expected=stored.revision)
 
     async def _write(self, holder: HolderRow) -> None:
         row = await self._table.write(
@@ -141,30 +141,30 @@
     DecodeError
         If a row is not a holder row.
     BergamotError
-        If there are too many rows to see all of them.
+        If there are too many rows to read all of them.
     """
     prefix = _key_prefix(address) if address else HOLDER_PREFIX
     rows = await table.scan(prefix, limit=MAX_HOLDERS)
     if len(rows) >= MAX_HOLDERS:
         raise BergamotError(
             f'{len(rows)} rows under {prefix}, expected fewer than '
-            f'{MAX_HOLDERS}; remove those of lost hosts by forget-host',
+            f'{MAX_HOLDERS}; remove those of lost hosts with forget-host',
             step=Step.STORE,
         )
     return tuple(_stored_holder(row) for row in rows)
 
 
 async def forget_holders(table: Table, address: str) -> int:
-    """Delete the rows of processes at an address that are gone for good.
+    """Delete the rows of processes that are permanently gone from an address.
 
     Returns
     -------
     int
-        How many rows there were.
+        Number of deleted rows.
     """
     stored = await read_holders(table, address)
-    for one in stored:
-        await table.delete(one.key, expected=one.revision)
+    for holder in stored:
+        await table.delete(holder.key, expected=holder.revision)
     return len(stored)
 
 
--- a/bergamotthread/version/relay.py
+++ b/bergamotthread/version/relay.py
@@ -1,4 +1,4 @@
-"""What a process passes on of the versions that it holds."""
+"""Propagation of the versions that a process holds to its peers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class VersionRelay:
-    """Passes versions on to the peers that ask for them."""
+    """Sends versions to the peers that ask for them."""
 
     def __init__(self, transport: Transport, clock: Clock) -> None:
         self._transport = transport
@@ -34,7 +34,7 @@
         self._watched_ms_by_address: dict[str, float] = {}
 
     def watch(self, peer: str) -> None:
-        """Pass new versions on to a peer that asked now."""
+        """Send new versions to a peer that asked just now."""
         self._watched_ms_by_address.pop(peer, None)
         self._watched_ms_by_address[peer] = self._clock.now_ms()
         if len(self._watched_ms_by_address) > MAX_WATCHERS:
@@ -46,28 +46,30 @@
         state: VersionState,
         publications: tuple[Publication, ...],
     ) -> None:
-        """Take in a newer version and tell the peers that asked lately.
+        """Set a newer version and notify the peers that asked recently.
 
         Parameters
         ----------
         publications
-            The newest ones that led to the version, as far as they are known.
+            The latest publications that led to the version, if known.
         """
-        before = self._state.version
+        old_version = self._state.version
         self._state = state
         self._snapshot = b''
         self._remember(publications)
-        self._notify_watchers(before)
+        self._notify_watchers(old_version)
 
     def bundle_since(self, version: int) -> bytes:
-        """Return what follows `version`: the publications or the whole set.
+        """Return the bundle of publications after `version` or the whole set.
 
-        Empty where nothing follows, or where the set is too large to send.
+        Empty if nothing follows, or if the set is too large to send.
         """
         if version >= self._state.version:
             return b''
         publications = tuple(
-            one for one in self._recent if one.version > version
+            publication
+            for publication in self._recent
+            if publication.version > version
         )
         if version and publications and publications[0].version == version + 1:
             return encode_record(Bundle(publications))
@@ -85,11 +87,11 @@
             self._recent.clear()
 
     def _notify_watchers(self, before: int) -> None:
-        since_ms = self._clock.now_ms() - WATCHER_TIMEOUT_MS
+        oldest_ms = self._clock.now_ms() - WATCHER_TIMEOUT_MS
         document = self.bundle_since(before) if before else b''
         notice = ConfigNotice(self._state.version, document)
         for address, watched_ms in self._watched_ms_by_address.items():
-            if watched_ms >= since_ms:
+            if watched_ms >= oldest_ms:
                 self._transport.send(address, notice)
 
 
@@ -97,24 +99,24 @@
     state: VersionState,
     bundle: Bundle,
 ) -> tuple[VersionState, tuple[Publication, ...]]:
-    """Return the state that a bundle leads to, and what was taken from it.
+    """Return the state after a bundle, and the publications applied from it.
 
     Raises
     ------
     ChainError
-        If the bundle's history is another than that of `state`.
+        If the bundle's history differs from that of `state`.
     """
     snapshot = bundle.snapshot
     if snapshot is not None and snapshot.version > state.version:
         state = VersionState.from_snapshot(snapshot)
-    taken: list[Publication] = []
+    applied: list[Publication] = []
     for publication in bundle.publications:
         if publication.version > state.version + 1:
             break
         if publication.version > state.version:
             state = state.follow(publication)
-            taken.append(publication)
-    return state, tuple(taken)
+            applied.append(publication)
+    return state, tuple(applied)
 
 
 def _encode_snapshot(state: VersionState) -> bytes:
--- a/bergamotthread/version/route_rules.py
+++ b/bergamotthread/version/route_rules.py
@@ -1,4 +1,4 @@
-"""Rules that routes must meet: references, fallbacks and reachability."""
+"""Validation rules for routes: references, fallbacks and reachability."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class _Capacity:
-    """Running requests that upstreams may hold, by target and region."""
+    """Total `max_running` of upstreams, by target and region."""
 
     running_by_target: dict[_Target, dict[str, int]]
 
@@ -34,7 +34,7 @@
         return cls(running)
 
     def of_route(self, route: Route, target: _Target) -> int | None:
-        """Return what a route can reach, None where it is no upstream."""
+        """Return the total that a route can reach, None without upstreams."""
         in_regions = self.running_by_target.get(target, {})
         if route.regions:
             in_regions = {
@@ -46,10 +46,10 @@
 
 
 def check_routes(index: SetIndex) -> Iterator[Fault]:
-    """Yield the faults of all routes, and services that none leads to."""
+    """Yield the faults of all routes, and services without a route."""
     capacity = _Capacity.from_index(index)
-    for at, route in enumerate(index.object_set.routes):
-        path = f'$.routes[{at}]'
+    for position, route in enumerate(index.object_set.routes):
+        path = f'$.routes[{position}]'
         yield from _check_references(index, path, route)
         yield from _check_target(index, path, route)
         yield from _check_fallback(index, path, route)
@@ -79,9 +79,9 @@
     service_path = f'{path}.service'
     yield from index.check_reference(service_path, 'services', route.service)
     for kind, names in (('teams', route.teams), ('regions', route.regions)):
-        for at, name in enumerate(names):
-            here = f'{path}.{kind}[{at}]'
-            yield from index.check_reference(here, kind, name)
+        for position, name in enumerate(names):
+            name_path = f'{path}.{kind}[{position}]'
+            yield from index.check_reference(name_path, kind, name)
 
 
 def _check_target(
@@ -107,12 +107,12 @@
 ) -> Iterator[Fault]:
     if not route.fallback:
         return
-    here = f'{path}.fallback'
-    yield from index.check_reference(here, 'routes', route.fallback)
+    fallback_path = f'{path}.fallback'
+    yield from index.check_reference(fallback_path, 'routes', route.fallback)
     fallback = index.routes_by_name.get(route.fallback)
     if fallback is not None and fallback.service != route.service:
         expected = f'expected a route of the service {route.service}'
-        yield Fault(here, route.fallback, expected)
+        yield Fault(fallback_path, route.fallback, expected)
 
 
 def _check_capacity(
@@ -131,13 +131,13 @@
 
 def _check_fallback_cycles(index: SetIndex) -> Iterator[Fault]:
     finished: set[str] = set()
-    for at, route in enumerate(index.object_set.routes):
+    for position, route in enumerate(index.object_set.routes):
         chain = _follow_fallbacks(index, route, finished)
         finished.update(chain)
         if chain and chain[-1] in chain[:-1]:
             cycle = chain[chain.index(chain[-1]) :]
             shown = ' -> '.join(cycle)
-            path = f'$.routes[{at}].fallback'
+            path = f'$.routes[{position}].fallback'
             yield Fault(path, route.fallback, f'fallback cycle {shown}')
 
 
@@ -146,24 +146,28 @@
     route: Route,
     finished: set[str],
 ) -> list[str]:
-    """Return the names up to the end, a finished one, or the first repeat."""
+    """Return the names in a fallback chain.
+
+    The chain stops at its end, before a finished route, or after the first
+    repeated name.
+    """
     chain: list[str] = []
-    following: Route | None = route
-    while following is not None and following.name not in finished:
-        chain.append(following.name)
-        if following.name in chain[:-1]:
+    current: Route | None = route
+    while current is not None and current.name not in finished:
+        chain.append(current.name)
+        if current.name in chain[:-1]:
             break
-        following = index.routes_by_name.get(following.fallback)
+        current = index.routes_by_name.get(current.fallback)
     return chain
 
 
 def _check_shadowed(index: SetIndex) -> Iterator[Fault]:
     fallbacks = {route.fallback for route in index.object_set.routes}
     path_by_selector: dict[_Selector, str] = {}
-    for at, route in enumerate(index.object_set.routes):
+    for position, route in enumerate(index.object_set.routes):
         if route.name in fallbacks:
             continue
-        path = f'$.routes[{at}]'
+        path = f'$.routes[{position}]'
         selector = _selector_of(route)
         first = path_by_selector.setdefault(selector, path)
         if first != path:
@@ -178,8 +182,8 @@
 
 def _check_services_reached(index: SetIndex) -> Iterator[Fault]:
     reached = {route.service for route in index.object_set.routes}
-    for at, service in enumerate(index.object_set.services):
+    for position, service in enumerate(index.object_set.services):
         if service.name not in reached:
-            path = f'$.services[{at}]'
+            path = f'$.services[{position}]'
             expected = 'unreachable: no route leads to the service'
             yield Fault(path, service.name, expected)
--- a/bergamotthread/version/route_table.py
+++ b/bergamotthread/version/route_table.py
@@ -1,4 +1,4 @@
-"""Routes, services and keys of one published version, ready to look up."""
+"""Routes, services and keys of one published version, for lookups."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Repeatability(enum.Enum):
-    """What may be repeated after a request was sent to an upstream."""
+    """Whether a request may be repeated after it was sent to an upstream."""
 
     NEVER = 'never'
     ANY_TIME = 'any_time'
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """Service of a route with its share of the route's requests."""
+    """Service of a route and its weight among the route's services."""
 
     service: str
     weight: float = 1
@@ -32,20 +32,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRoute:
-    """Where requests of one host and path prefix go.
+    """Route for requests with one host and path prefix.
 
     Parameters
     ----------
     is_stream
         Whether the answer is a stream of events.
     attempts_max
-        Upstreams that may see one request.
+        Maximum number of upstreams that one request is sent to.
     timeout_ms
-        Longest time that a request is kept waiting.
+        Maximum time that a request waits for an answer.
     first_event_goal_ms
-        Time within which the answer, or its first event, is on time.
+        Target for the time to the answer, or to its first event.
     gap_goal_ms
-        Longest pause between two events that is still on time; 0 if unset.
+        Target for the longest pause between two events; 0 if unset.
     """
 
     name: str
@@ -64,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What the engines of a service can do.
+    """Capabilities of the engines of a service.
 
     Parameters
     ----------
     slots
-        Requests that one engine runs at once.
+        Requests that one engine runs concurrently.
     kv_capacity_tokens
         Tokens that fit into the memory of one engine.
     """
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayService:
-    """One service of a version; `engine` is none for plain services."""
+    """One service of a version; `engine` is None for plain services."""
 
     name: str
     health_path: str
@@ -92,9 +92,9 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """What one version says about requests.
+    """Routes, services, limits and keys of one version.
 
-    `team_by_key` is none where no keys are asked for.
+    `team_by_key` is None if requests need no key.
     """
 
     version: int
@@ -111,7 +111,7 @@
         object.__setattr__(self, 'routes_by_host', _by_host(self.routes))
 
     def match(self, host: bytes, target: bytes) -> RelayRoute | None:
-        """Return the route with the longest prefix of a path, or none."""
+        """Return the route with the longest matching prefix, or None."""
         path = target.partition(b'?')[0]
         for route in self.routes_by_host.get(_host_name(host), ()):
             if path.startswith(route.path_prefix):
@@ -130,8 +130,8 @@
     for route in routes:
         grouped.setdefault(route.host.lower(), []).append(route)
     return {
-        host: tuple(sorted(found, key=_prefix_length, reverse=True))
-        for host, found in grouped.items()
+        host: tuple(sorted(host_routes, key=_prefix_length, reverse=True))
+        for host, host_routes in grouped.items()
     }
 
 
--- a/bergamotthread/version/schema.py
+++ b/bergamotthread/version/schema.py
@@ -1,4 +1,4 @@
-"""JSON Schema of the operators' objects, for editors."""
+"""JSON Schema of the configuration objects, for editors."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def object_set_schema() -> bytes:
-    """Return the JSON Schema of a set, indented.
+    """Return the JSON Schema of a set of objects, indented.
 
-    It covers names, types and unknown fields of each object. What refers to
-    other objects is checked by `bergamotthread.version.checks` alone.
+    It covers names, types and unknown fields of each object. References to
+    other objects are checked only by `bergamotthread.version.checks`.
     """
     schema = {
         '$schema': SCHEMA_DIALECT,
--- a/bergamotthread/version/set_index.py
+++ b/bergamotthread/version/set_index.py
@@ -1,4 +1,4 @@
-"""Index of a set of objects that is not yet known to be valid."""
+"""Index of a set of objects for validation."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True)
 class SetIndex:
-    """A set with the names and capacities that its rules refer to.
+    """A set of objects with the lookups that validation rules need.
 
-    Where a name stands twice the last object counts; the duplicate is a
-    fault of its own.
+    If a name occurs twice, the last object is used; the duplicate is reported
+    as a separate fault.
     """
 
     object_set: ObjectSet
@@ -33,32 +33,37 @@
 
     @classmethod
     def from_object_set(cls, object_set: ObjectSet) -> SetIndex:
-        """Index a set that is not yet known to be valid."""
+        """Return the index of a set that may not be valid."""
         return cls(
             object_set=object_set,
             names_by_kind={
-                kind: frozenset(one.name for one in getattr(object_set, kind))
+                kind: frozenset(
+                    named.name for named in getattr(object_set, kind)
+                )
                 for kind in KINDS
             },
-            models_by_name={one.name: one for one in object_set.models},
-            services_by_name={one.name: one for one in object_set.services},
-            routes_by_name={one.name: one for one in object_set.routes},
+            models_by_name={model.name: model for model in object_set.models},
+            services_by_name={
+                service.name: service for service in object_set.services
+            },
+            routes_by_name={route.name: route for route in object_set.routes},
             regions_by_failure_domain={
-                one.name: one.region for one in object_set.failure_domains
+                domain.name: domain.region
+                for domain in object_set.failure_domains
             },
         )
 
     def check_reference(
         self, path: str, kind: str, name: str
     ) -> Iterator[Fault]:
-        """Yield a fault where `name` is no object of `kind`."""
+        """Yield a fault if `name` is not the name of an object of `kind`."""
         names = self.names_by_kind[kind]
         if name not in names:
             valid = list_valid(names)
-            yield Fault(path, name, f'names none of {kind}; valid: {valid}')
+            yield Fault(path, name, f'not found in {kind}; valid: {valid}')
 
     def check_pin(self, path: str, pin: Pin) -> Iterator[Fault]:
-        """Yield faults where a pin names no model, version or adapter."""
+        """Yield faults for a pin's unknown model, version or adapter."""
         model = self.models_by_name.get(pin.model)
         if model is None:
             yield from self.check_reference(
--- a/bergamotthread/version/sources.py
+++ b/bergamotthread/version/sources.py
@@ -17,8 +17,8 @@
 def rank_addresses(addresses: Iterable[str]) -> tuple[str, ...]:
     """Return addresses in an order that all processes agree on.
 
-    The order is that of their hashes (rendezvous hashing with one key), so
-    that a process which joins or leaves changes no other's place.
+    They are sorted by hash (rendezvous hashing with one key), so that a
+    process that joins or leaves does not change the order of the others.
     """
     return tuple(sorted(set(addresses), key=_hash))
 
@@ -30,10 +30,10 @@
 
 
 class SourceChoice:
-    """Chooses whom to ask next, and more at once the longer none answers.
+    """Chooses peers to ask, and more of them the longer none answers.
 
-    One of the readers is always asked; only while none answers, others are
-    asked beside it.
+    One of the readers is always asked; other peers are asked as well only
+    while no answer arrives.
     """
 
     def __init__(self, address: str) -> None:
@@ -45,7 +45,7 @@
     def choose(self, peers: Iterable[str], *, max_fanout: int) -> list[str]:
         """Return the peers to ask now."""
         ranked = rank_addresses(peers)
-        candidates = [one for one in ranked if one != self._address]
+        candidates = [address for address in ranked if address != self._address]
         if not candidates:
             return []
         if self._unanswered:
@@ -57,7 +57,7 @@
         return [readers[self._reader % len(readers)], *others]
 
     def record_answer(self) -> None:
-        """Note that a peer gave a proof that is fresh enough."""
+        """Record that a peer sent a proof that is recent enough."""
         self._unanswered = 0
 
     def _choose_others(self, candidates: list[str], count: int) -> list[str]:
@@ -70,7 +70,7 @@
 
 
 class PendingRequests:
-    """Times at which requests were sent, by nonce."""
+    """Send times of requests, by nonce."""
 
     def __init__(self, incarnation: int) -> None:
         first = (incarnation % (1 << _NONCE_BITS - 1)) << _NONCE_BITS - 1
@@ -86,7 +86,7 @@
         return nonce
 
     def sent_ms(self, nonce: int) -> float | None:
-        """Return when the request was sent, None where it is not known."""
+        """Return the time the request was sent, or None if not known."""
         return self._sent_ms_by_nonce.get(nonce)
 
 
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -48,12 +48,12 @@
     [
         ('regions', 0, 'egress_price_per_gb', -1, '', 'from 0'),
         ('failure_domains', 0, 'region', 'x', '', 'valid: cuyo, litoral'),
-        ('teams', 1, 'name', 'rosario-gears', '', 'already at $.teams[0]'),
+        ('teams', 1, 'name', 'rosario-gears', '', 'already used at $.teams[0]'),
         ('teams', 0, 'name', '', '', '1 to 100 letters'),
         ('teams', 0, 'weight', 0, '', 'above 0'),
         ('teams', 0, 'requests_per_s', -2, '', 'above 0'),
         ('teams', 0, 'concurrent_generations', 0, '', 'from 1'),
-        ('teams', 0, 'home_region', 'x', '', 'none of regions'),
+        ('teams', 0, 'home_region', 'x', '', 'not found in regions'),
         ('teams', 0, 'credential_hashes', ['ab'], '[0]', 'SHA-256'),
         ('models', 0, 'versions', [], '', 'at least one'),
         ('models', 0, 'context_tokens', 0, '', 'from 1'),
@@ -62,16 +62,16 @@
         ('routes', 0, 'model', 'x', '', 'valid: furnace-log'),
         ('routes', 0, 'version', 'x', '', 'valid of furnace-log: 2026-06'),
         ('routes', 0, 'adapter', 'x', '', 'valid of furnace-log: quench'),
-        ('routes', 0, 'teams', ['x'], '[0]', 'none of teams'),
-        ('routes', 0, 'fallback', 'x', '', 'none of routes'),
+        ('routes', 0, 'teams', ['x'], '[0]', 'not found in teams'),
+        ('routes', 0, 'fallback', 'x', '', 'not found in routes'),
         ('routes', 0, 'fallback', 'portal', '', 'route of the service'),
         ('routes', 1, 'fallback', 'anomalies', '', 'cycle'),
         ('routes', 2, 'model', 'furnace-log', '', 'service is plain'),
         ('upstreams', 0, 'agent', 'runner:7100', '', 'not a name'),
         ('upstreams', 0, 'agent', '10.0.0.1', '', 'not a name'),
         ('upstreams', 0, 'agent', '10.0.0.1:0', '', '1 to 65535'),
-        ('upstreams', 1, 'agent', '10.20.1.10:7100', '', 'already at'),
-        ('upstreams', 0, 'failure_domain', 'x', '', 'none of failure_dom'),
+        ('upstreams', 1, 'agent', '10.20.1.10:7100', '', 'already used at'),
+        ('upstreams', 0, 'failure_domain', 'x', '', 'not found in failure_dom'),
         ('upstreams', 0, 'max_running', -1, '', 'from 0'),
     ],
 )
@@ -177,7 +177,7 @@
 
 
 def test_unreadable_file_is_reported(tmp_path: Path) -> None:
-    with pytest.raises(ObjectsError, match='can not be read'):
+    with pytest.raises(ObjectsError, match='objects cannot be read'):
         load_object_set(tmp_path / 'missing.json')
 
 
