--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -37,11 +37,11 @@
         ('BEARER new', 'trench'),
     ],
 )
-def test_team(authorization: str, name: str) -> None:
+def test_credential_identifies_its_team(authorization: str, name: str) -> None:
     assert authenticate_team(authorization, _PUBLISHED).name == name
 
 
-def test_operator() -> None:
+def test_credential_identifies_its_operator() -> None:
     assert authenticate_operator('Bearer op', _PUBLISHED).name == 'ana'
 
 
@@ -63,7 +63,9 @@
         (authenticate_operator, 'Bearer x', ReasonCode.UNAUTHENTICATED),
     ],
 )
-def test_refusals(authenticate, authorization: str, reason: ReasonCode) -> None:
+def test_invalid_credentials_are_refused(
+    authenticate, authorization: str, reason: ReasonCode
+) -> None:
     with pytest.raises(RefusedError) as caught:
         authenticate(authorization, _PUBLISHED)
     refusal = caught.value.refusal
--- a/tests/test_call_search.py
+++ b/tests/test_call_search.py
@@ -1,10 +1,11 @@
 """Exhaustive search of the protocol of guarded calls.
 
-Two requests with one key at two holders, one table, one agent that may be
-replaced, and every order of pause, lost answer, write that lands late, lapsed
-lease, late or lost message and deadline. A crash of a holder is a pause without
-end: it keeps nothing, and what it had sent may still arrive. Holders run
-`advance` and agents run `TicketBook`, as in production.
+Fails if a call runs twice, or if a request that ran is answered `ran: no`. Two
+requests with one key run at two holders, with one table and one agent that may
+be replaced. All orders of these faults are covered: pause, lost answer, delayed
+write, expired lease, delayed or lost message, deadline. A crash of a holder is
+a pause without end: it keeps no state, and messages that it sent may still
+arrive. Holders run `advance` and agents run `TicketBook`, as in production.
 """
 
 from __future__ import annotations
@@ -61,7 +62,7 @@
 
 
 class Ref(Generic[_Value]):
-    """The one reference to all equal values, cheap to hash and compare."""
+    """Reference shared by all equal values, cheap to hash and compare."""
 
     __slots__ = ('value',)
     by_value: ClassVar[dict[Any, Any]] = {}
@@ -78,7 +79,7 @@
 
 
 class Letter(NamedTuple):
-    """Message from a request to an agent: a call, or a question after it."""
+    """Message from a request to an agent: a call, or a query of its outcome."""
 
     index: int
     sending: Sending
@@ -99,7 +100,7 @@
 
 
 class Holder(NamedTuple):
-    """One request; `earlier` are the sendings begun when it was answered."""
+    """One request; `earlier` are the sendings that began before its answer."""
 
     progress: Ref[Progress] | None = None
     action: Ref[Any] | None = None
@@ -120,7 +121,7 @@
 
 @dataclass
 class Search:
-    """Search of all worlds that the faults can reach."""
+    """Search of all worlds that are reachable by faults."""
 
     advance: _Advance = advance
     book: type[TicketBook] = TicketBook
@@ -186,7 +187,7 @@
                     yield changed, Written(revision)
             case Read() | Poll():
                 stored = world.stored.value
-                for lapsed in _lapses(stored):
+                for lapsed in _possible_lapses(stored):
                     yield world, Found(stored, lapsed)
             case Choose():
                 yield world, NoneChosen()
@@ -207,11 +208,11 @@
 
     def tell(self, world: World, index: int, event: Event) -> World:
         holder = world.holders[index]
-        asked = (holder.progress, event)
-        if asked not in self.memory:
-            told = self.advance(holder.progress.value, event, 0)
-            self.memory[asked] = told
-        return self.enter(world, index, holder, *self.memory[asked])
+        key = (holder.progress, event)
+        if key not in self.memory:
+            result = self.advance(holder.progress.value, event, 0)
+            self.memory[key] = result
+        return self.enter(world, index, holder, *self.memory[key])
 
     def enter(
         self,
@@ -294,9 +295,9 @@
 
 
 def _prune(world: World) -> World:
-    """Drop writes that can never land, since revisions only rise."""
+    """Drop writes that can't take effect, since revisions only increase."""
     revision = _revision(world)
-    kept = [one for one in world.writes if one.value.expected >= revision]
+    kept = [write for write in world.writes if write.value.expected >= revision]
     return world._replace(writes=frozenset(kept))
 
 
@@ -322,7 +323,7 @@
     return False
 
 
-def _lapses(stored: Stored | None) -> tuple[bool, ...]:
+def _possible_lapses(stored: Stored | None) -> tuple[bool, ...]:
     if stored and isinstance(stored.row.state, Reserved | Dispatched):
         return (False, True)
     return (False,)
@@ -356,14 +357,14 @@
 
 
 def _end(world: World, index: int, holder: Holder) -> World:
-    """Forget what can no longer matter once a request has ended."""
+    """End a request, and drop state that no longer matters."""
     not_run = holder.verdict is Verdict.NOT_RUN
     ended = Holder(
         verdict=Verdict.NOT_RUN if not_run else None,
         earlier=holder.earlier if not_run else frozenset(),
         ended=True,
     )
-    kept = [one for one in world.replies if one.value.index != index]
+    kept = [reply for reply in world.replies if reply.value.index != index]
     return _put(world._replace(replies=frozenset(kept)), index, ended)
 
 
@@ -373,22 +374,22 @@
     return world._replace(holders=(holders[0], holders[1]))
 
 
-def _move_alone(stored: Stored) -> Stored:
-    """Return the row after one request that meets no fault but dead peers."""
+def _run_one_request(stored: Stored) -> Stored:
+    """Return the row after one more request, whose peers are all gone."""
     claim = Claim('c', 'same')
     progress, actions = begin(claim, 0)
-    now: Stored | None = stored
+    current: Stored | None = stored
     for _ in range(20):
         event: Event | None = None
         for action in actions:
             match action:
                 case Write(row=row, expected=expected):
                     event = NotWritten()
-                    if now and now.revision == expected:
-                        now = Stored(row, expected + 1)
-                        event = Written(now.revision)
+                    if current and current.revision == expected:
+                        current = Stored(row, expected + 1)
+                        event = Written(current.revision)
                 case Read() | Poll():
-                    event = Found(now, lapsed=True)
+                    event = Found(current, lapsed=True)
                 case Choose():
                     event = Chosen(Sending('c', 'agent', 9, 1))
                 case Send() | Ask():
@@ -396,7 +397,7 @@
         if event is None:
             break
         progress, actions = advance(progress, event, 0)
-    return now
+    return current
 
 
 @pytest.mark.parametrize(
@@ -429,7 +430,7 @@
         Refused,
     }
     for row in rows:
-        left = _move_alone(row.value).row
+        left = _run_one_request(row.value).row
         assert isinstance(left.state, Done | Unknown)
         if isinstance(left.state, Unknown):
             assert resolve(left, Resolved(True, 'operator'), 0) is not None
@@ -494,7 +495,7 @@
         ({'book': _ReopensTicket, 'check': _check_runs}, 'doubled'),
     ],
 )
-def test_search_finds_a_missing_guard(
+def test_search_detects_a_missing_guard(
     mutant: dict[str, Any], fault: str
 ) -> None:
     with pytest.raises(AssertionError, match=fault):
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -27,8 +27,8 @@
 def _faults(document: dict) -> dict[str, str]:
     with pytest.raises(ObjectsError) as caught:
         check_object_set(decode_object_set(json.dumps(document).encode()))
-    assert all(one.step is Step.CHECK for one in caught.value.exceptions)
-    faults = [one.fault for one in caught.value.exceptions]
+    assert all(error.step is Step.CHECK for error in caught.value.exceptions)
+    faults = [error.fault for error in caught.value.exceptions]
     return {fault.path: fault.expected for fault in faults}
 
 
@@ -123,7 +123,7 @@
         if 'models' in upstream:
             upstream['max_running'] = 0
     document['upstreams'] = [
-        one for one in document['upstreams'] if 'models' in one
+        kept for kept in document['upstreams'] if 'models' in kept
     ]
     faults = _faults(document)
     assert 'zero capacity' in faults['$.routes[0]']
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -79,7 +79,9 @@
 
 
 def _versions(group: VersionGroup) -> set[int]:
-    return {one.holder.version for one in group.members_by_address.values()}
+    return {
+        member.holder.version for member in group.members_by_address.values()
+    }
 
 
 def _admitting(group: VersionGroup, region: str) -> list[bool]:
@@ -104,16 +106,16 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_admission_goes_on_under_loss(seed: int) -> None:
+def test_admission_continues_under_message_loss(seed: int) -> None:
     async def _scenario(group: VersionGroup) -> None:
         for weight in range(2, 12):
             version = await _publish(group, weight)
             await group.accept(version)
         first_ms = group.admissions[-1].at_ms - 30_000
         refused = [
-            one
-            for one in group.members_by_address
-            if _gap_ms(group, one, first_ms) > 500
+            address
+            for address in group.members_by_address
+            if _gap_ms(group, address, first_ms) > 500
         ]
         assert not refused
 
@@ -122,16 +124,16 @@
 
 
 def _gap_ms(group: VersionGroup, address: str, first_ms: float) -> float:
-    moments = [
-        one.at_ms
-        for one in group.admissions
-        if one.address == address and one.at_ms >= first_ms
+    times_ms = [
+        admission.at_ms
+        for admission in group.admissions
+        if admission.address == address and admission.at_ms >= first_ms
     ]
-    gaps = zip(moments[1:], moments[:-1], strict=True)
+    gaps = zip(times_ms[1:], times_ms[:-1], strict=True)
     return max(later - earlier for later, earlier in gaps)
 
 
-def test_paused_process_admits_nothing_on_wake() -> None:
+def test_paused_process_admits_nothing_when_resumed() -> None:
     async def _scenario(group: VersionGroup) -> None:
         paused = _address('pampa', 0)
         group.pause(paused)
@@ -192,7 +194,7 @@
     assert not _run(_scenario, lease_ms=HOUR_MS).violations()
 
 
-def test_outage_lease_carries_admission_through_an_hour() -> None:
+def test_outage_lease_keeps_admission_for_an_hour() -> None:
     async def _scenario(group: VersionGroup) -> None:
         group.platform.faults.down = True
         await group.clock.sleep_ms(HOUR_MS)
@@ -257,7 +259,7 @@
     _run(_scenario)
 
 
-def test_process_replaced_with_empty_memory_never_serves_older() -> None:
+def test_restarted_process_never_serves_an_older_version() -> None:
     async def _scenario(group: VersionGroup) -> None:
         address = _address('litoral', 1)
         for incarnation in range(2, 8):
@@ -271,7 +273,7 @@
     assert not _run(_scenario).violations()
 
 
-def test_process_without_table_follows_by_its_peers() -> None:
+def test_process_without_table_follows_its_peers() -> None:
     async def _scenario(group: VersionGroup) -> None:
         agent = group.add('agents', '10.1.0.1:7100', has_table=False)
         for member in list(group.members_by_address.values()):
@@ -309,7 +311,7 @@
     ('delay_ms', 'is_admitting'),
     [(400, True), (900, True), (1500, False)],
 )
-def test_slow_store_within_the_timeout_stops_nothing(
+def test_slow_store_within_the_timeout_keeps_admission(
     delay_ms: float,
     *,
     is_admitting: bool,
@@ -322,7 +324,9 @@
         await group.clock.sleep_ms(VERSION_LEASE_MS)
         group.refusals.clear()
         await group.clock.sleep_ms(30_000)
-        refused = {one.address.startswith('10.2.') for one in group.refusals}
+        refused = {
+            refusal.address.startswith('10.2.') for refusal in group.refusals
+        }
         assert (True in refused) != is_admitting
 
     _run(_scenario, count=1)
@@ -353,7 +357,7 @@
     assert not _run(_scenario).violations()
 
 
-def test_newer_number_in_a_heartbeat_brings_the_version() -> None:
+def test_newer_version_in_a_heartbeat_is_fetched() -> None:
     async def _scenario(group: VersionGroup) -> None:
         member = group.members_by_address[_address('cuyo', 3)]
         other = group.members_by_address[_address('litoral', 0)]
@@ -389,7 +393,9 @@
     _run(_scenario)
 
 
-def test_table_that_went_back_gives_no_proof() -> None:
+def test_table_with_an_older_version_gives_no_proof() -> None:
+    """A table that was reset to an older row must not renew the lease."""
+
     async def _scenario(group: VersionGroup) -> None:
         before = group.platform.rows_by_key[VERSION_KEY]
         await group.accept(await _publish(group, 2))
@@ -436,7 +442,7 @@
     _run(_scenario)
 
 
-def test_reads_of_the_table_do_not_grow_with_the_group() -> None:
+def test_table_reads_do_not_grow_with_the_group() -> None:
     async def _scenario(group: VersionGroup) -> None:
         before = group.platform.reads
         await group.clock.sleep_ms(10_000)
@@ -447,21 +453,21 @@
 
 
 class _NoLease(VersionHolder):
-    """Admits by whatever it has: activation on receipt."""
+    """Admits requests by any version that it received, without a lease."""
 
     def may_admit(self):
         return None if self.current else super().may_admit()
 
 
 class _LeaseFromAnswer(VersionHolder):
-    """Counts the lease from when the answer is seen."""
+    """Counts the lease from the arrival of the answer."""
 
     def _prove(self, moment_ms: float) -> None:
         super()._prove(self._clock.now_ms())
 
 
 class _LeaseWithoutProofAge(VersionHolder):
-    """Takes the question's time as the proof's, whatever its age."""
+    """Counts the lease from the request and ignores the proof's age."""
 
     def _on_notice(self, peer: str, notice: ConfigNotice) -> None:
         aged = ConfigNotice(
@@ -479,7 +485,7 @@
 
 
 class _OutageLeaseUnregistered(VersionHolder):
-    """Uses the outage lease without any registration."""
+    """Uses the outage lease without registration."""
 
     def __init__(self, *args: object, **names: object) -> None:
         super().__init__(*args, **names)
@@ -494,44 +500,44 @@
 
 
 class _ProofBeforeRegistration(VersionHolder):
-    """Uses the outage lease from a proof older than its registration."""
+    """Uses the outage lease with a proof older than the registration."""
 
     def __init__(self, *args: object, **names: object) -> None:
         super().__init__(*args, **names)
         self.lease = _EarlyLease()
 
 
-async def _faults_at_random(group: VersionGroup, seed: int) -> None:
-    """Publish under pauses, cuts, outages and replacements."""
-    chosen = random.Random(seed)
+async def _inject_random_faults(group: VersionGroup, seed: int) -> None:
+    """Publish while processes are paused, disconnected and replaced."""
+    rng = random.Random(seed)
     addresses = sorted(group.members_by_address)
     paused: set[str] = set()
     for step in range(15):
-        address = chosen.choice(addresses)
-        match chosen.randrange(7):
+        address = rng.choice(addresses)
+        match rng.randrange(7):
             case 0 | 1 if address not in paused:
                 group.pause(address)
                 paused.add(address)
             case 2 if paused:
-                woken = chosen.choice(sorted(paused))
-                paused.discard(woken)
-                group.resume(woken)
+                resumed = rng.choice(sorted(paused))
+                paused.discard(resumed)
+                group.resume(resumed)
             case 3:
-                region = chosen.choice(REGIONS)
-                _cut_from_table(group, region, cut=chosen.random() < 0.5)
+                region = rng.choice(REGIONS)
+                _cut_from_table(group, region, cut=rng.random() < 0.5)
             case 4 if address not in paused:
                 region = group.members_by_address[address].region
                 group.kill(address)
                 group.add(region, address, 2 + step)
             case 5:
-                one, other = chosen.sample(addresses, 2)
+                one, other = rng.sample(addresses, 2)
                 group.network.cut_both(one, other)
             case 6:
                 group.network.heal()
         version = await _publish(
-            group, step + 2, chosen.choice([0, 0, OUTAGE_LEASE_MS])
+            group, step + 2, rng.choice([0, 0, OUTAGE_LEASE_MS])
         )
-        if chosen.random() < 0.7:
+        if rng.random() < 0.7:
             await group.accept(version, timeout_ms=8000)
     for one in sorted(paused):
         group.resume(one)
@@ -541,7 +547,7 @@
 @pytest.mark.parametrize('seed', range(8))
 def test_no_admission_after_acceptance_by_an_older_version(seed: int) -> None:
     async def _scenario(group: VersionGroup) -> None:
-        await _faults_at_random(group, seed)
+        await _inject_random_faults(group, seed)
 
     group = _run(_scenario, count=3, loss=0.1, seed=seed)
     assert len(group.accepted_ms_by_version) > 3
@@ -557,9 +563,11 @@
         _OutageLeaseUnregistered,
     ],
 )
-def test_proof_fails_on_mutants(mutant: type[VersionHolder]) -> None:
+def test_mutants_violate_the_lease(mutant: type[VersionHolder]) -> None:
+    """The test above must detect each weakened rule of the lease."""
+
     async def _scenario(group: VersionGroup) -> None:
-        await _faults_at_random(group, group.network.seed)
+        await _inject_random_faults(group, group.network.seed)
 
     violations = [
         _run(
@@ -579,6 +587,8 @@
     *,
     is_safe: bool,
 ) -> None:
+    """The outage lease must not apply to proofs before the registration."""
+
     async def _scenario(group: VersionGroup) -> None:
         late = group.add('lonely', '10.9.9.9:7000')
         own_table = MemoryTable(group.platform)
--- a/tests/test_plain_call.py
+++ b/tests/test_plain_call.py
@@ -23,7 +23,7 @@
         return error.refusal
 
 
-async def _clean() -> None:
+async def _run_without_faults() -> None:
     group = CallGroup.create()
     assert (await _run(group)).status == 200
     assert group.platform.writes + group.platform.reads == 0
@@ -31,7 +31,7 @@
 
 
 def test_idempotent_call_needs_no_row() -> None:
-    run_virtual(_clean())
+    run_virtual(_run_without_faults())
 
 
 async def _retried(group: CallGroup) -> None:
@@ -97,7 +97,7 @@
     )
 
 
-def test_declined_everywhere_did_not_run() -> None:
+def test_call_declined_by_all_agents_did_not_run() -> None:
     run_virtual(_all_draining())
 
 
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -38,7 +38,7 @@
 
 
 def _set(**weights: float) -> ObjectSet:
-    teams = tuple(Team(name, weight=one) for name, one in weights.items())
+    teams = tuple(Team(name, weight=weight) for name, weight in weights.items())
     return ObjectSet(regions=(Region('cuyo'),), teams=teams)
 
 
@@ -91,7 +91,7 @@
     _run(_scenario)
 
 
-def test_stale_base_is_refused_with_who_and_what() -> None:
+def test_conflict_names_publisher_and_changed_objects() -> None:
     async def _scenario(publisher: Publisher, _: MemoryPlatform) -> None:
         await publisher.publish(Draft(_set(a=1), 'ana', 0))
         await publisher.publish(Draft(_set(a=1, b=1), 'eva', 1))
@@ -104,7 +104,7 @@
     _run(_scenario)
 
 
-def test_conflict_with_many_names_the_last() -> None:
+def test_conflict_names_the_newest_of_many_publications() -> None:
     async def _scenario(publisher: Publisher, _: MemoryPlatform) -> None:
         for version in range(9):
             await publisher.publish(Draft(_set(a=version + 1), 'eva', version))
@@ -144,43 +144,47 @@
     _run(_scenario)
 
 
-def test_twenty_racing_publishers() -> None:
+def test_one_of_twenty_concurrent_publishers_succeeds() -> None:
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
         platform.faults.delay_ms = 5
         await publisher.publish(Draft(_set(a=1), 'ana', 0))
         drafts = [
-            Draft(_set(a=1, **{f't{one}': 1}), f'op-{one}', 1)
-            for one in range(20)
+            Draft(_set(a=1, **{f't{number}': 1}), f'op-{number}', 1)
+            for number in range(20)
         ]
         outcomes = await asyncio.gather(
-            *(_publisher(platform).publish(one) for one in drafts),
+            *(_publisher(platform).publish(draft) for draft in drafts),
             return_exceptions=True,
         )
         conflicts = [
-            one for one in outcomes if isinstance(one, PublicationConflictError)
+            outcome
+            for outcome in outcomes
+            if isinstance(outcome, PublicationConflictError)
         ]
         assert len(conflicts) == 19
         newest = await publisher.newest()
         assert newest.state.version == 2
-        assert all(one.newer[0].version == 2 for one in conflicts)
+        assert all(conflict.newer[0].version == 2 for conflict in conflicts)
 
     _run(_scenario)
 
 
-def test_twenty_racing_rebases_all_land() -> None:
+def test_twenty_concurrent_rebases_all_succeed() -> None:
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
         platform.faults.delay_ms = 5
         await publisher.publish(Draft(_set(a=1), 'ana', 0))
         drafts = [
-            Draft(_set(a=1, **{f't{one}': 1}), f'op-{one}', 1, rebase=True)
-            for one in range(20)
+            Draft(
+                _set(a=1, **{f't{number}': 1}), f'op-{number}', 1, rebase=True
+            )
+            for number in range(20)
         ]
         writes = platform.writes
         started_ms = platform.clock.now_ms()
         await asyncio.gather(
             *(
-                _publisher(platform, seed).publish(one)
-                for seed, one in enumerate(drafts)
+                _publisher(platform, seed).publish(draft)
+                for seed, draft in enumerate(drafts)
             ),
         )
         assert platform.writes - writes <= STORE_WRITES_PER_S
@@ -194,11 +198,13 @@
 
 @pytest.mark.parametrize('lost', [1, 2, 3])
 @pytest.mark.parametrize('overtaken', [False, True])
-def test_own_publication_is_recognised_after_a_lost_answer(
+def test_own_publication_is_found_after_a_lost_answer(
     lost: int,
     *,
     overtaken: bool,
 ) -> None:
+    """The write whose answer was lost is retried and meets its own row."""
+
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
         await publisher.publish(Draft(_set(a=1), 'ana', 0))
         table = _LossyTable(platform, lost=lost, overtaken=overtaken)
@@ -213,7 +219,10 @@
 
 
 class _LossyTable(MemoryTable):
-    """Loses the first answers; another publisher may come before the retry."""
+    """Loses the first `lost` answers to writes.
+
+    If `overtaken`, another version is published before the write is retried.
+    """
 
     def __init__(
         self,
@@ -239,7 +248,7 @@
         return row
 
 
-def test_unknown_outcome_is_told_as_unknown() -> None:
+def test_unanswered_write_raises_unknown_outcome() -> None:
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
         await publisher.publish(Draft(_set(a=1), 'ana', 0))
         table = _LossyTable(platform, lost=1_000, overtaken=False)
@@ -260,7 +269,7 @@
     _run(_scenario)
 
 
-def test_write_that_was_never_sent_is_not_told_as_unknown() -> None:
+def test_write_that_was_never_sent_has_no_unknown_outcome() -> None:
     class _ClosedTable(MemoryTable):
         async def write(self, key: str, body: bytes, *, expected: int) -> None:
             raise StoreNotAskedError('circuit is open', step='store')
@@ -274,7 +283,7 @@
     _run(_scenario)
 
 
-def test_store_down_before_the_write_is_told_as_unavailable() -> None:
+def test_store_down_before_the_write_raises_unavailable() -> None:
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
         platform.faults.down = True
         with pytest.raises(StoreUnavailableError):
@@ -315,7 +324,9 @@
     _run(_scenario)
 
 
-def test_reader_that_is_interrupted_goes_on_where_it_was() -> None:
+def test_interrupted_read_continues_with_objects_already_read() -> None:
+    """The store's rate limits may interrupt every read of a long history."""
+
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
         for version in range(SNAPSHOT_INTERVAL + 30):
             note = 'long ' * 200
@@ -338,7 +349,7 @@
 
 
 class _InterruptedStore(MemoryObjectStore):
-    """Answers every second read."""
+    """Fails every second read."""
 
     gets = 0
 
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -33,10 +33,10 @@
 
 
 async def _versions(table: MemoryTable) -> list[int]:
-    return [one.holder.version for one in await read_holders(table)]
+    return [stored.holder.version for stored in await read_holders(table)]
 
 
-def test_row_follows_the_version() -> None:
+def test_row_holds_the_recorded_version() -> None:
     async def _scenario(table: MemoryTable) -> None:
         registration = Registration(table, PLACE, 1)
         for version in (1, 2, 3):
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize('earlier', [0, 1, 2])
-def test_lost_answer_is_made_good(earlier: int) -> None:
+def test_write_is_repeated_after_a_lost_answer(earlier: int) -> None:
     async def _scenario(table: MemoryTable) -> None:
         registration = Registration(table, PLACE, 1)
         for version in range(1, earlier + 1):
@@ -65,7 +65,7 @@
     _run(_scenario)
 
 
-def test_deleted_row_comes_back_under_another_key() -> None:
+def test_deleted_row_is_rewritten_under_another_key() -> None:
     async def _scenario(table: MemoryTable) -> None:
         registration = Registration(table, PLACE, 1)
         await registration.record(1, 0)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize('body', [b'{', b'{}', b'\xff', b'[]'])
-def test_damaged_row_is_a_clear_error(body: bytes) -> None:
+def test_damaged_row_raises_a_decode_error(body: bytes) -> None:
     async def _scenario(table: MemoryTable) -> None:
         await table.write(f'{HOLDER_PREFIX}x/1.0', body, expected=0)
         with pytest.raises(DecodeError, match='x/1.0 is not a holder row'):
@@ -100,7 +100,7 @@
     _run(_scenario)
 
 
-def test_more_rows_than_can_be_seen_are_told() -> None:
+def test_too_many_rows_raise_an_error() -> None:
     async def _scenario(table: MemoryTable) -> None:
         rows = table.platform.rows_by_key
         for number in range(MAX_HOLDERS):
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -1,4 +1,4 @@
-"""A whole entry through an hour without the platform's store."""
+"""A generation at an entry continues while the store is down for an hour."""
 
 import asyncio
 
@@ -69,7 +69,7 @@
     return entry, publisher
 
 
-def _patient_set() -> ObjectSet:
+def _set_with_long_deadline() -> ObjectSet:
     plain = small_set(2)
     service = msgspec.structs.replace(
         plain.services[0],
@@ -78,7 +78,7 @@
     return msgspec.structs.replace(plain, services=(service,))
 
 
-def test_generation_runs_on_through_an_hour_without_the_store() -> None:
+def test_generation_continues_for_an_hour_without_the_store() -> None:
     async def scenario() -> None:
         network = MemoryNetwork()
         deployment = SmallDeployment(
@@ -90,7 +90,7 @@
         clock = deployment.clock
         platform = MemoryPlatform(clock)
         entry, publisher = _entry(network, platform, clock)
-        draft = Draft(_patient_set(), who='operator', base=0)
+        draft = Draft(_set_with_long_deadline(), who='operator', base=0)
         await publisher.publish(draft)
         parts = (
             entry.versions.run(),
--- a/tests/test_version_lease_search.py
+++ b/tests/test_version_lease_search.py
@@ -1,9 +1,10 @@
 """Search of all interleavings of two holders, a publisher and the table.
 
-Time goes in ticks of half a lease. Each message, read and write may be late by
-any number of ticks, and a holder acts only when it is chosen to, so that pauses
-are covered. The first holder reads the table, the second asks the first and
-registers.
+Fails if a holder may admit requests by the old version after the new one was
+accepted. Time advances in ticks of half a lease. Each message, read and write
+may be delayed by any number of ticks, and a holder acts only when the search
+selects it, which covers pauses. The first holder reads the table; the second
+asks the first and registers.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """Rules under search; each default is that of production."""
+    """Rules to search; the defaults are those of production."""
 
     proof_from_answer: bool = False
     ignores_age: bool = False
@@ -41,7 +42,11 @@
 
 
 class Holder(NamedTuple):
-    """One process; a pending read is its time and, once made, its version."""
+    """One process.
+
+    A pending read has the tick at which it was sent in `read_sent` and, once it
+    was carried out, the version in `read_found`.
+    """
 
     version: int = 0
     proven: float = -math.inf
@@ -69,7 +74,7 @@
 
 
 class World(NamedTuple):
-    """State of all; the second holder asks the first."""
+    """State of the search; the second holder asks the first."""
 
     now: int = 0
     published: int = OLD
@@ -93,7 +98,7 @@
         yield world.with_holder(0, after)
     for after in _write_steps(world, world.holders[1], rules):
         yield world.with_holder(1, after)
-    yield from _question_steps(world, rules)
+    yield from _request_steps(world, rules)
 
 
 def _publisher_steps(world: World, rules: Rules) -> Iterator[World]:
@@ -102,7 +107,8 @@
     if world.published == OLD:
         yield world._replace(published=NEW, written=world.now)
         return
-    # All clocks of the search run at one rate, so the margin is left out.
+    # All clocks of the search run at one rate, so the margin for drift in
+    # `lapse_ms` is cancelled here.
     waited_ms = (world.now - world.written) * TICK_MS * (1 + CLOCK_DRIFT)
     rows_waited_for = [
         holder.row
@@ -149,7 +155,7 @@
         yield done
 
 
-def _question_steps(world: World, rules: Rules) -> Iterator[World]:
+def _request_steps(world: World, rules: Rules) -> Iterator[World]:
     asked, asker = world.holders
     if world.asked < 0:
         yield world._replace(asked=world.now)
@@ -160,14 +166,14 @@
     else:
         version, age = world.answer
         age = 0 if rules.ignores_age else age
-        taken = asker.adopt(version)
-        if taken.version >= version:
-            taken = taken.prove(world.asked - age)
-        after = world.with_holder(1, taken)
+        updated = asker.adopt(version)
+        if updated.version >= version:
+            updated = updated.prove(world.asked - age)
+        after = world.with_holder(1, updated)
         yield after._replace(asked=-1, answer=None)
 
 
-def _is_broken(world: World, rules: Rules) -> bool:
+def _violates_lease(world: World, rules: Rules) -> bool:
     return world.accepted and any(
         holder.version == OLD and holder.remaining_ms(world.now, rules) > 0
         for holder in world.holders
@@ -175,12 +181,12 @@
 
 
 def search(rules: Rules) -> tuple[int, World | None]:
-    """Return how many states were seen, and a broken one if there is any."""
+    """Return the number of states, and one that violates the lease or None."""
     seen = {World()}
     waiting = [World()]
     while waiting:
         world = waiting.pop()
-        if _is_broken(world, rules):
+        if _violates_lease(world, rules):
             return len(seen), world
         for after in _next_worlds(world, rules):
             if after not in seen:
@@ -208,5 +214,5 @@
     ],
     ids=str,
 )
-def test_search_finds_each_weaker_rule(rules: Rules) -> None:
+def test_search_detects_each_weakened_rule(rules: Rules) -> None:
     assert search(rules)[1] is not None
