--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -16,7 +16,10 @@
 from bergamotthread.connection.http.upstream_connection import (
     UpstreamConnection,
 )
-from bergamotthread.process.relay.choice import UpstreamChoice, Work
+from bergamotthread.process.relay.choice import (
+    RelayPlacementRequest,
+    UpstreamChoice,
+)
 from bergamotthread.process.relay.upstreams import (
     UpstreamDirectory,
     UpstreamRecord,
@@ -66,10 +69,12 @@
     directory = directory_of(count, clock)
     choice = UpstreamChoice(directory, 'd0', {}, random.Random(1))
     works = [
-        Work('model', prompt_tokens=8000, affinity=b'%d' % number)
+        RelayPlacementRequest(
+            'model', prompt_tokens=8000, affinity=b'%d' % number
+        )
         for number in range(DECISIONS)
     ]
-    choice.draw(works[0])
+    choice.draw_candidates(works[0])
 
     def decide() -> None:
         for work in works:
@@ -78,9 +83,11 @@
     return Cost(f'decision, {count} upstreams', _us(decide) / DECISIONS)
 
 
-def cheapest(choice: UpstreamChoice, work: Work) -> None:
+def cheapest(choice: UpstreamChoice, work: RelayPlacementRequest) -> None:
     """Draw candidates and compare them."""
-    costs_ms = [choice.cost_ms(one, work) for one in choice.draw(work)]
+    costs_ms = [
+        choice.cost_ms(one, work) for one in choice.draw_candidates(work)
+    ]
     min(costs_ms)
 
 
--- a/bergamotthread/platform/entry.py
+++ b/bergamotthread/platform/entry.py
@@ -38,8 +38,8 @@
 from bergamotthread.process.relay.liveness import LivenessWatch
 from bergamotthread.process.relay.relay_metrics import RelayMetrics
 from bergamotthread.process.relay.repeat_budget import (
-    RepeatBudget,
-    RepeatLimits,
+    ServiceRetryBudget,
+    ServiceRetryLimits,
 )
 from bergamotthread.process.relay.servers import (
     RelayServer,
@@ -243,7 +243,7 @@
 
     def _relay_parts(self) -> RelayParts:
         settings = self._settings
-        limits = RepeatLimits(
+        limits = ServiceRetryLimits(
             ratio=settings.repeat_ratio * BUDGET_SHARE,
             window_ms=settings.repeat_window_ms,
             slack=settings.repeat_slack * BUDGET_SHARE,
@@ -259,14 +259,14 @@
                 settings.region_by_domain,
                 self._rng,
             ),
-            budget=RepeatBudget(self._clock, limits, self._entries),
+            retry_budget=ServiceRetryBudget(self._clock, limits, self._entries),
             liveness=LivenessWatch(
                 self._clock,
                 self._directory,
                 runners.report,
             ),
-            memory=runners,
-            dialect=PLATFORM_DIALECT,
+            kv_cache=runners,
+            header_names=PLATFORM_DIALECT,
             log=self._log,
             metrics=RelayMetrics.from_clock(self._clock),
         )
--- a/bergamotthread/platform/headers.py
+++ b/bergamotthread/platform/headers.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from bergamotthread.request.relay.dialect import RelayDialect
+from bergamotthread.request.relay.dialect import RelayHeaderNames
 
-PLATFORM_DIALECT = RelayDialect(
+PLATFORM_DIALECT = RelayHeaderNames(
     request_id=b'bergamotthread-request-id',
     remaining_ms=b'bergamotthread-deadline-remaining',
     expected_instance=b'bergamotthread-expect-instance',
--- a/bergamotthread/platform/runner_calls.py
+++ b/bergamotthread/platform/runner_calls.py
@@ -13,7 +13,7 @@
 from bergamotthread.platform.runner_rows import decode_report
 from bergamotthread.process.relay.liveness import PROBE_TIMEOUT_MS
 from bergamotthread.process.relay.upstreams import LoadReport, Upstream
-from bergamotthread.request.relay.engine_memory import EngineMemory
+from bergamotthread.request.relay.engine_memory import EngineKvCache
 
 # Copying the KV cache of a long prompt between failure domains takes 80 ms,
 # and the copy waits for other copies on both links.
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class RunnerCalls(EngineMemory):
+class RunnerCalls(EngineKvCache):
     """Calls runners over pooled connections."""
 
     pool: UpstreamPool
--- a/bergamotthread/platform/runner_rows.py
+++ b/bergamotthread/platform/runner_rows.py
@@ -53,7 +53,7 @@
         failure_domain=row.zone,
         state=state,
         slots=row.slots,
-        born_ms=row.born,
+        started_ms=row.born,
     )
 
 
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -270,8 +270,8 @@
             logging.error('manifest is invalid; former one kept: %s', error)
             self._log.write('manifest-refused', detail=str(error))
             return
-        if self._holder.offer(table):
-            self._life_cycle.version_known()
+        if self._holder.replace_if_newer(table):
+            self._life_cycle.mark_ready()
             self._log.write(
                 'version-in-force',
                 version=table.version,
--- a/bergamotthread/process/relay/choice.py
+++ b/bergamotthread/process/relay/choice.py
@@ -22,38 +22,38 @@
 # Prefill rate of an engine, from its data sheet.
 PREFILL_TOKENS_PER_MS = 8.0
 # Delay that each running request adds to the tokens of the others.
-RUNNING_MS = 15.0
+RUNNING_REQUEST_COST_MS = 15.0
 # Cost of a full KV cache; grows with the square of the fraction in use, and
 # linearly for a copy holder.
-MEMORY_FULL_MS = 2000.0
+KV_FULL_COST_MS = 2000.0
 # Extra cost of another region, for the round trip and the paid traffic.
-FAR_MS = 60.0
+CROSS_REGION_COST_MS = 60.0
 # Cost of an upstream all of whose recent requests failed.
-FAILURE_MS = 4000.0
+FAILURE_COST_MS = 4000.0
 # Upstreams that are asked for their load before one is chosen.
-CANDIDATES = 4
+SAMPLED_CANDIDATES = 4
 # Candidates from this region: traffic between regions is paid, and a loss in
 # this region is noticed a round trip sooner.
-NEAR_CANDIDATES = 3
+OWN_REGION_CANDIDATES = 3
 # With fewer upstreams in the region, the choice among queues is too small and
 # all regions are treated alike.
-NEAR_POOL_MIN = 6
+OWN_REGION_UPSTREAMS_MIN = 6
 # Candidates from each region for a caller that reconnects.
-RETURN_CANDIDATES = 3
+RECONNECT_CANDIDATES_PER_REGION = 3
 # Upstreams considered as candidates, which bounds the time of a choice.
-SEEN_MAX = 64
+CONSIDERED_UPSTREAMS_MAX = 64
 # Cost of a candidate for each one that the affinity prefers to it. A new prompt
 # goes where the fewest tokens wait, unless the difference is small; the prompt
 # of a caller that reconnects goes where it is cached, which saves a second of
 # prefill.
-RANK_MS = 200.0
-RETURN_RANK_MS = 1500.0
+AFFINITY_RANK_COST_MS = 200.0
+RECONNECT_RANK_COST_MS = 1500.0
 # Expected delay by each request in flight at a plain upstream.
-PLAIN_REQUEST_MS = 15.0
+PLAIN_REQUEST_COST_MS = 15.0
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RelayPlacementRequest:
     """What the choice of an upstream for an attempt depends on.
 
     Parameters
@@ -74,7 +74,7 @@
     prompt_tokens: int = 0
     excluded: frozenset[str] = frozenset()
     affinity: bytes = b''
-    is_return: bool = False
+    is_reconnect: bool = False
 
 
 @dataclass
@@ -94,30 +94,34 @@
     region_by_domain: dict[str, str]
     rng: random.Random = field(default_factory=random.Random)
 
-    def choose(self, work: Work) -> Upstream | None:
+    def choose(self, request: RelayPlacementRequest) -> Upstream | None:
         """Return the cheapest upstream of all, or None if there is none."""
         eligible = [
             upstream
-            for upstream in self.directory.of_service(work.service)
-            if self._may_run(upstream, work)
+            for upstream in self.directory.of_service(request.service)
+            if self._is_eligible(upstream, request)
         ]
         healthy = [
             upstream
             for upstream in eligible
-            if not self.directory.is_doubtful(upstream)
+            if not self.directory.is_suspected(upstream)
         ]
-        return self._cheapest(healthy or eligible, work)
+        return self._cheapest(healthy or eligible, request)
 
-    def choose_elsewhere(self, work: Work, domain: str) -> Upstream | None:
+    def choose_copy_holder(
+        self, request: RelayPlacementRequest, domain: str
+    ) -> Upstream | None:
         """Return a copy holder outside a failure domain, or None."""
         outside = (
             upstream
-            for upstream in self._in_order(work)
+            for upstream in self._eligible_in_order(request)
             if upstream.record.failure_domain != domain
         )
-        return self.holder_among(list(islice(outside, CANDIDATES)))
+        return self.copy_holder_among(list(islice(outside, SAMPLED_CANDIDATES)))
 
-    def holder_among(self, upstreams: Sequence[Upstream]) -> Upstream | None:
+    def copy_holder_among(
+        self, upstreams: Sequence[Upstream]
+    ) -> Upstream | None:
         """Return the best holder of a copy, or None if there is none.
 
         A full upstream refuses runs that resume from a copy, and after a loss
@@ -125,9 +129,9 @@
         placed by free KV cache. Queues do not count, because a resumed run is
         admitted before queued requests.
         """
-        return min(upstreams, key=self._holder_cost_ms, default=None)
+        return min(upstreams, key=self._copy_holder_cost_ms, default=None)
 
-    def draw(self, work: Work) -> list[Upstream]:
+    def draw_candidates(self, request: RelayPlacementRequest) -> list[Upstream]:
         """Return a few candidates, from two failure domains if possible.
 
         Upstreams of this region come first, then those that the affinity
@@ -135,50 +139,66 @@
         others. For a caller that reconnects, every entry of every region
         draws the same candidates.
         """
-        considered = list(islice(self._in_order(work), SEEN_MAX))
+        considered = list(
+            islice(self._eligible_in_order(request), CONSIDERED_UPSTREAMS_MAX)
+        )
         healthy = [
             upstream
             for upstream in considered
-            if not self.directory.is_doubtful(upstream)
+            if not self.directory.is_suspected(upstream)
         ]
         ordered = healthy or considered
-        if work.is_return:
-            return self._first_of_regions(ordered)
-        local = [upstream for upstream in ordered if not self._far_ms(upstream)]
-        if len(local) >= NEAR_POOL_MIN:
+        if request.is_reconnect:
+            return self._first_of_each_region(ordered)
+        local = [
+            upstream
+            for upstream in ordered
+            if not self._region_cost_ms(upstream)
+        ]
+        if len(local) >= OWN_REGION_UPSTREAMS_MIN:
             remote = [
-                upstream for upstream in ordered if self._far_ms(upstream)
+                upstream
+                for upstream in ordered
+                if self._region_cost_ms(upstream)
+            ]
+            candidates = [*local[:OWN_REGION_CANDIDATES], *remote][
+                :SAMPLED_CANDIDATES
             ]
-            candidates = [*local[:NEAR_CANDIDATES], *remote][:CANDIDATES]
         else:
-            candidates = ordered[:CANDIDATES]
+            candidates = ordered[:SAMPLED_CANDIDATES]
         return _with_second_domain(candidates, ordered)
 
-    def rank_ms(self, rank: int, work: Work) -> float:
+    def rank_cost_ms(self, rank: int, request: RelayPlacementRequest) -> float:
         """Return the cost in ms of a candidate at a rank by affinity."""
-        if not work.affinity:
+        if not request.affinity:
             return 0
-        per_rank_ms = RETURN_RANK_MS if work.is_return else RANK_MS
+        per_rank_ms = (
+            RECONNECT_RANK_COST_MS
+            if request.is_reconnect
+            else AFFINITY_RANK_COST_MS
+        )
         return rank * per_rank_ms
 
-    def cost_ms(self, upstream: Upstream, work: Work) -> float:
+    def cost_ms(
+        self, upstream: Upstream, request: RelayPlacementRequest
+    ) -> float:
         """Return the expected wait plus the delay to other requests, in ms.
 
         A random part below 1 ms breaks ties.
         """
-        if work.prompt_tokens:
-            cost_ms = _engine_cost_ms(upstream, work)
+        if request.prompt_tokens:
+            cost_ms = _engine_cost_ms(upstream, request)
         else:
-            cost_ms = upstream.in_flight * PLAIN_REQUEST_MS
-        cost_ms += self.directory.failure_share(upstream) * FAILURE_MS
-        return cost_ms + self._far_ms(upstream) + self.rng.random()
+            cost_ms = upstream.in_flight * PLAIN_REQUEST_COST_MS
+        cost_ms += self.directory.failure_share(upstream) * FAILURE_COST_MS
+        return cost_ms + self._region_cost_ms(upstream) + self.rng.random()
 
-    def _holder_cost_ms(self, upstream: Upstream) -> float:
-        kv_fraction = _memory_share(upstream, upstream.held_tokens)
-        cost_ms = kv_fraction * MEMORY_FULL_MS + self._far_ms(upstream)
+    def _copy_holder_cost_ms(self, upstream: Upstream) -> float:
+        kv_fraction = _kv_fraction(upstream, upstream.held_tokens)
+        cost_ms = kv_fraction * KV_FULL_COST_MS + self._region_cost_ms(upstream)
         return cost_ms + self.rng.random()
 
-    def _first_of_regions(self, ordered: list[Upstream]) -> list[Upstream]:
+    def _first_of_each_region(self, ordered: list[Upstream]) -> list[Upstream]:
         by_region: dict[str, list[Upstream]] = {}
         for upstream in ordered:
             region = self.region_by_domain.get(upstream.record.failure_domain)
@@ -186,59 +206,65 @@
         return [
             member
             for members in by_region.values()
-            for member in members[:RETURN_CANDIDATES]
+            for member in members[:RECONNECT_CANDIDATES_PER_REGION]
         ]
 
-    def _in_order(self, work: Work) -> Iterator[Upstream]:
+    def _eligible_in_order(
+        self, request: RelayPlacementRequest
+    ) -> Iterator[Upstream]:
         """Yield the eligible upstreams, by affinity or else at random."""
         directory = self.directory
-        if work.affinity:
-            ordered = directory.by_affinity(work.service, work.affinity)
+        if request.affinity:
+            ordered = directory.by_affinity(request.service, request.affinity)
         else:
-            upstreams = list(directory.of_service(work.service))
+            upstreams = list(directory.of_service(request.service))
             ordered = iter(self.rng.sample(upstreams, len(upstreams)))
         for upstream in ordered:
-            if self._may_run(upstream, work):
+            if self._is_eligible(upstream, request):
                 yield upstream
 
-    def _may_run(self, upstream: Upstream, work: Work) -> bool:
-        is_excluded = upstream.record.instance in work.excluded
+    def _is_eligible(
+        self, upstream: Upstream, request: RelayPlacementRequest
+    ) -> bool:
+        is_excluded = upstream.record.instance in request.excluded
         return not is_excluded and not self.directory.is_lost(upstream)
 
     def _cheapest(
         self,
         upstreams: Sequence[Upstream],
-        work: Work,
+        request: RelayPlacementRequest,
     ) -> Upstream | None:
         return min(
             upstreams,
-            key=lambda upstream: self.cost_ms(upstream, work),
+            key=lambda upstream: self.cost_ms(upstream, request),
             default=None,
         )
 
-    def _far_ms(self, upstream: Upstream) -> float:
+    def _region_cost_ms(self, upstream: Upstream) -> float:
         region = self.region_by_domain.get(upstream.record.failure_domain)
         is_local = region == self.region_by_domain.get(self.own_domain)
-        return 0 if is_local else FAR_MS
+        return 0 if is_local else CROSS_REGION_COST_MS
 
 
 def _with_second_domain(
-    drawn: list[Upstream],
+    candidates: list[Upstream],
     ordered: list[Upstream],
 ) -> list[Upstream]:
-    domains = {upstream.record.failure_domain for upstream in drawn}
+    domains = {upstream.record.failure_domain for upstream in candidates}
     if len(domains) != 1:
-        return drawn
+        return candidates
     others = (
         upstream
         for upstream in ordered
         if upstream.record.failure_domain not in domains
     )
-    last = next(others, drawn[-1])
-    return [*drawn[:-1], last]
+    last = next(others, candidates[-1])
+    return [*candidates[:-1], last]
 
 
-def _engine_cost_ms(upstream: Upstream, work: Work) -> float:
+def _engine_cost_ms(
+    upstream: Upstream, request: RelayPlacementRequest
+) -> float:
     report = upstream.report
     unread = upstream.prefill_tokens
     running = upstream.in_flight
@@ -246,12 +272,14 @@
         reported = report.unread_tokens + upstream.sent_since_report
         unread = max(unread, reported)
         running = max(running, report.running)
-    waiting = unread + work.prompt_tokens
-    cost_ms = waiting / PREFILL_TOKENS_PER_MS + running * RUNNING_MS
-    return cost_ms + _memory_share(upstream) ** 2 * MEMORY_FULL_MS
+    waiting = unread + request.prompt_tokens
+    cost_ms = (
+        waiting / PREFILL_TOKENS_PER_MS + running * RUNNING_REQUEST_COST_MS
+    )
+    return cost_ms + _kv_fraction(upstream) ** 2 * KV_FULL_COST_MS
 
 
-def _memory_share(upstream: Upstream, more_tokens: int = 0) -> float:
+def _kv_fraction(upstream: Upstream, more_tokens: int = 0) -> float:
     """Return the fraction of the KV cache in use; 0 without a load report."""
     report = upstream.report
     if report is None:
--- a/bergamotthread/process/relay/decision_log.py
+++ b/bergamotthread/process/relay/decision_log.py
@@ -18,7 +18,7 @@
 # Lines that are buffered while the reader is behind.
 BUFFERED_LINES_MAX = 2000
 # Lines that a process may log in one second; further ones are dropped.
-LINES_PER_S = 300
+LINES_PER_S_MAX = 300
 FLUSH_INTERVAL_MS = 50
 _MS_PER_S = 1000
 _STDOUT = 1
@@ -45,9 +45,9 @@
     descriptor: int = _STDOUT
     dropped: int = 0
     _lines: deque[bytes] = field(default_factory=deque)
-    _waiting: bytes = b''
-    _second: int = 0
-    _in_second: int = 0
+    _unwritten: bytes = b''
+    _current_second: int = 0
+    _lines_in_second: int = 0
     _flush: asyncio.TimerHandle | None = None
 
     def write(self, event: str, **fields: LogField) -> None:
@@ -66,7 +66,7 @@
     def flush(self) -> None:
         """Write as much as the reader accepts without blocking."""
         self._flush = None
-        waiting = self._waiting or self._take_lines()
+        waiting = self._unwritten or self._take_lines()
         try:
             written = os.write(self.descriptor, waiting)
         except BlockingIOError:
@@ -74,8 +74,8 @@
         except OSError:
             # The reader closed the pipe, so the error can't be reported.
             written = len(waiting)
-        self._waiting = waiting[written:]
-        if self._waiting or self._lines:
+        self._unwritten = waiting[written:]
+        if self._unwritten or self._lines:
             self._flush_soon()
 
     def _take_lines(self) -> bytes:
@@ -90,12 +90,12 @@
 
     def _admit(self) -> bool:
         second = int(self.clock.now_ms() // _MS_PER_S)
-        if second != self._second:
-            self._second = second
-            self._in_second = 0
-        self._in_second += 1
+        if second != self._current_second:
+            self._current_second = second
+            self._lines_in_second = 0
+        self._lines_in_second += 1
         is_full = len(self._lines) >= BUFFERED_LINES_MAX
-        if is_full or self._in_second > LINES_PER_S:
+        if is_full or self._lines_in_second > LINES_PER_S_MAX:
             self.dropped += 1
             return False
         return True
--- a/bergamotthread/process/relay/feed_sources.py
+++ b/bergamotthread/process/relay/feed_sources.py
@@ -16,9 +16,9 @@
 
 # Time for which an entry is not asked after it failed to respond or sent data
 # that was too old.
-FAILED_MS = 8000
+ENTRY_BACKOFF_MS = 8000
 # Time after a failed call to the store for which other entries are preferred.
-STORE_FAILED_MS = 1000
+STORE_BACKOFF_MS = 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,14 +90,16 @@
         failed_ms = self._store_failed_ms_by_table.get(table)
         if failed_ms is None:
             return False
-        return self.clock.now_ms() - failed_ms < STORE_FAILED_MS
+        return self.clock.now_ms() - failed_ms < STORE_BACKOFF_MS
 
     def _usable(self) -> Iterable[EntryRecord]:
         now_ms = self.clock.now_ms()
         for entry in self._entry_by_host.values():
             is_local = entry.region == self.own_region
-            failed_ms = self._failed_ms_by_host.get(entry.host, -FAILED_MS)
-            is_healthy = now_ms - failed_ms >= FAILED_MS
+            failed_ms = self._failed_ms_by_host.get(
+                entry.host, -ENTRY_BACKOFF_MS
+            )
+            is_healthy = now_ms - failed_ms >= ENTRY_BACKOFF_MS
             if is_local and is_healthy and entry.host != self.own_host:
                 yield entry
 
--- a/bergamotthread/process/relay/freshness.py
+++ b/bergamotthread/process/relay/freshness.py
@@ -16,7 +16,7 @@
 DISPATCH_MARGIN_MS = 300
 # Fraction of the bound after which the entry reports to the balancer that it is
 # not ready.
-READY_SHARE = 0.7
+READY_AGE_FRACTION = 0.7
 
 
 @dataclass
@@ -48,7 +48,7 @@
         return self.clock.boot_ms() - self._confirmed_ms
 
     @property
-    def admits_keys(self) -> bool:
+    def may_accept_keys(self) -> bool:
         """Return whether keys are known not to have been removed."""
         if self.revoke_bound_ms is None:
             return True
@@ -59,4 +59,4 @@
         """Return whether the balancer should send new callers here."""
         if self.revoke_bound_ms is None:
             return True
-        return self.age_ms < self.revoke_bound_ms * READY_SHARE
+        return self.age_ms < self.revoke_bound_ms * READY_AGE_FRACTION
--- a/bergamotthread/process/relay/hash_ring.py
+++ b/bergamotthread/process/relay/hash_ring.py
@@ -9,7 +9,7 @@
 import xxhash
 
 # More points balance the members better and make changes of the ring slower.
-POINTS = 16
+POINTS_PER_MEMBER = 16
 
 
 class HashRing:
@@ -32,7 +32,7 @@
 
     def walk(self, key: bytes) -> Iterator[str]:
         """Yield each member once, clockwise from the position of the key."""
-        start = bisect.bisect(self._points, (_place(key), ''))
+        start = bisect.bisect(self._points, (_position(key), ''))
         indexes = chain(range(start, len(self._points)), range(start))
         seen: set[str] = set()
         for index in indexes:
@@ -44,10 +44,10 @@
 
 def _points(member: str) -> list[tuple[int, str]]:
     return [
-        (_place(f'{member}#{number}'.encode()), member)
-        for number in range(POINTS)
+        (_position(f'{member}#{number}'.encode()), member)
+        for number in range(POINTS_PER_MEMBER)
     ]
 
 
-def _place(key: bytes) -> int:
+def _position(key: bytes) -> int:
     return xxhash.xxh3_64_intdigest(key)
--- a/bergamotthread/process/relay/life_cycle.py
+++ b/bergamotthread/process/relay/life_cycle.py
@@ -14,10 +14,10 @@
 
 # Time until the balancer sends no new connections: it checks once a second and
 # removes an entry after two failed checks.
-ROTATION_MS = 2600
+BALANCER_REMOVAL_MS = 2600
 # Streams that begin later than this after the request to stop would not end
 # before the process is killed.
-LATE_STREAM_MS = 1500
+NEW_STREAM_GRACE_MS = 1500
 # Time before the kill at which the process ends the requests still in flight.
 KILL_MARGIN_MS = 350
 
@@ -53,7 +53,7 @@
         """Return the name of the state."""
         return str(self._machine.state)
 
-    def version_known(self) -> None:
+    def mark_ready(self) -> None:
         """Become ready, because a version has been loaded."""
         if self.state == STARTING:
             self._machine.trigger('become')
@@ -84,12 +84,12 @@
     @property
     def refuses_streams(self) -> bool:
         """Return whether a new stream would not end before the kill."""
-        return self.draining_ms > LATE_STREAM_MS
+        return self.draining_ms > NEW_STREAM_GRACE_MS
 
     @property
     def is_out_of_rotation(self) -> bool:
         """Return whether the balancer has stopped sending connections."""
-        return self.draining_ms > ROTATION_MS
+        return self.draining_ms > BALANCER_REMOVAL_MS
 
     @property
     def must_end(self) -> bool:
--- a/bergamotthread/process/relay/liveness.py
+++ b/bergamotthread/process/relay/liveness.py
@@ -20,14 +20,14 @@
 # Silence within a stream after which its upstream is probed. It is several
 # times the usual gap between events (40 ms), and short enough for the stream to
 # resume elsewhere within the longest allowed pause (700 ms).
-SILENCE_MS = 120
+STREAM_SILENCE_MS = 120
 # The same during prefill, where a later detection does no harm.
-READING_SILENCE_MS = 200
+PREFILL_SILENCE_MS = 200
 # Opening a connection and one round trip between regions take 120 ms.
 PROBE_TIMEOUT_MS = 190
 
 # Age up to which a load report is reused without a new probe.
-REPORT_FRESH_MS = 150
+REPORT_AGE_MAX_MS = 150
 
 Probe = Callable[[Upstream], Awaitable[LoadReport | None]]
 
@@ -48,20 +48,22 @@
     directory: UpstreamDirectory
     probe: Probe
     probes: int = 0
-    _running: dict[str, asyncio.Task[bool]] = field(default_factory=dict)
-    _waiting: set[asyncio.Task[bool]] = field(default_factory=set)
+    _probe_by_instance: dict[str, asyncio.Task[bool]] = field(
+        default_factory=dict
+    )
+    _background_checks: set[asyncio.Task[bool]] = field(default_factory=set)
 
     async def is_alive(
         self,
         upstream: Upstream,
-        silence_ms: float = SILENCE_MS,
+        silence_ms: float = STREAM_SILENCE_MS,
     ) -> bool:
         """Return whether an upstream sent bytes recently or answers a probe."""
         if self.clock.now_ms() - upstream.heard_ms < silence_ms:
             return True
-        return await self.verify(upstream)
+        return await self.check(upstream)
 
-    async def verify(self, upstream: Upstream) -> bool:
+    async def check(self, upstream: Upstream) -> bool:
         """Probe an upstream, or wait for the probe under way.
 
         Returns
@@ -70,14 +72,16 @@
             Whether the upstream is alive.
         """
         instance = upstream.record.instance
-        task = self._running.get(instance)
+        task = self._probe_by_instance.get(instance)
         if task is None:
             task = asyncio.create_task(self._probe(upstream))
-            self._running[instance] = task
-            task.add_done_callback(lambda _: self._running.pop(instance, None))
+            self._probe_by_instance[instance] = task
+            task.add_done_callback(
+                lambda _: self._probe_by_instance.pop(instance, None)
+            )
         return await asyncio.shield(task)
 
-    async def refresh(self, upstream: Upstream) -> bool:
+    async def refresh_report(self, upstream: Upstream) -> bool:
         """Probe an upstream unless its load report is recent.
 
         An upstream that does not answer the probe is marked lost.
@@ -89,15 +93,15 @@
         """
         report = upstream.report
         now_ms = self.clock.now_ms()
-        if report is not None and now_ms - report.at_ms < REPORT_FRESH_MS:
+        if report is not None and now_ms - report.at_ms < REPORT_AGE_MAX_MS:
             return True
-        return await self.verify(upstream)
+        return await self.check(upstream)
 
-    def verify_soon(self, upstream: Upstream) -> None:
+    def check_in_background(self, upstream: Upstream) -> None:
         """Start a probe of an upstream and return at once."""
-        task = asyncio.create_task(self.verify(upstream))
-        self._waiting.add(task)
-        task.add_done_callback(self._waiting.discard)
+        task = asyncio.create_task(self.check(upstream))
+        self._background_checks.add(task)
+        task.add_done_callback(self._background_checks.discard)
 
     async def _probe(self, upstream: Upstream) -> bool:
         self.probes += 1
--- a/bergamotthread/process/relay/relay_metrics.py
+++ b/bergamotthread/process/relay/relay_metrics.py
@@ -37,7 +37,7 @@
     attempts: LabelledCounter
     answer_ms: Percentiles
     first_event_ms: Percentiles
-    pause_ms: Percentiles
+    longest_pause_ms: Percentiles
 
     @classmethod
     def from_clock(cls, clock: Clock) -> RelayMetrics:
--- a/bergamotthread/process/relay/repeat_budget.py
+++ b/bergamotthread/process/relay/repeat_budget.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class RepeatLimits:
+class ServiceRetryLimits:
     """Bound on the retries of a service.
 
     Parameters
@@ -35,12 +35,12 @@
 
 @dataclass
 class _Usage:
-    first_ms: deque[float] = field(default_factory=deque)
-    repeat_ms: deque[float] = field(default_factory=deque)
+    first_attempts_ms: deque[float] = field(default_factory=deque)
+    retries_ms: deque[float] = field(default_factory=deque)
 
 
 @dataclass
-class RepeatBudget:
+class ServiceRetryBudget:
     """Counts first attempts and retries by service.
 
     Parameters
@@ -50,28 +50,30 @@
     """
 
     clock: Clock
-    limits: RepeatLimits
-    entries: Callable[[], int]
+    limits: ServiceRetryLimits
+    count_entries: Callable[[], int]
     _usage_by_service: dict[str, _Usage] = field(default_factory=dict)
 
-    def record_first(self, service: str) -> None:
+    def record_first_attempt(self, service: str) -> None:
         """Count the first attempt of a request."""
-        self._recent(service).first_ms.append(self.clock.now_ms())
+        self._current_usage(service).first_attempts_ms.append(
+            self.clock.now_ms()
+        )
 
     def spend(self, service: str) -> bool:
         """Count a retry if it is allowed; return whether it is."""
-        usage = self._recent(service)
-        slack = self.limits.slack / max(self.entries(), 1)
-        allowed = self.limits.ratio * len(usage.first_ms) + slack
-        if len(usage.repeat_ms) + 1 > allowed:
+        usage = self._current_usage(service)
+        slack = self.limits.slack / max(self.count_entries(), 1)
+        allowed = self.limits.ratio * len(usage.first_attempts_ms) + slack
+        if len(usage.retries_ms) + 1 > allowed:
             return False
-        usage.repeat_ms.append(self.clock.now_ms())
+        usage.retries_ms.append(self.clock.now_ms())
         return True
 
-    def _recent(self, service: str) -> _Usage:
+    def _current_usage(self, service: str) -> _Usage:
         usage = self._usage_by_service.setdefault(service, _Usage())
         start_ms = self.clock.now_ms() - self.limits.window_ms
-        for times in (usage.first_ms, usage.repeat_ms):
+        for times in (usage.first_attempts_ms, usage.retries_ms):
             while times and times[0] < start_ms:
                 times.popleft()
         return usage
--- a/bergamotthread/process/relay/servers.py
+++ b/bergamotthread/process/relay/servers.py
@@ -25,7 +25,7 @@
 LISTEN_BACKLOG = 1024
 DRAIN_RETRY_AFTER_MS = 100
 # Wait for the first version; a new process loads it within half a second.
-START_WAIT_MS = 600
+FIRST_VERSION_TIMEOUT_MS = 600
 
 
 @dataclass
@@ -33,7 +33,7 @@
     """Serves callers by relaying their requests to upstreams."""
 
     clock: Clock
-    holder: RouteTableHolder
+    table_holder: RouteTableHolder
     admission: Admission
     parts: RelayParts
     life_cycle: LifeCycle
@@ -44,7 +44,7 @@
     @property
     def limits(self) -> CallerLimits:
         """Return the limits of the current version."""
-        table = self.holder.table
+        table = self.table_holder.table
         return CallerLimits() if table is None else table.limits
 
     @property
@@ -54,25 +54,27 @@
 
     async def answer(self, exchange: Exchange) -> None:
         """Respond to one request of a caller."""
-        if self.holder.table is None:
-            await self.holder.wait_known(self.clock, START_WAIT_MS)
-        admitted = self.admission.admit(exchange, self.holder.table)
+        if self.table_holder.table is None:
+            await self.table_holder.wait_for_table(
+                self.clock, FIRST_VERSION_TIMEOUT_MS
+            )
+        admitted = self.admission.admit(exchange, self.table_holder.table)
         if isinstance(admitted, RelayRefusal):
             self._refuse(exchange, admitted)
             return
         if admitted.route.is_stream and self.life_cycle.refuses_streams:
-            self._refuse(exchange, _draining())
+            self._refuse(exchange, _draining_refusal())
             return
         self.in_flight += 1
         try:
-            await _relay(admitted, self.parts).run()
+            await _make_relay(admitted, self.parts).run()
         finally:
             self.in_flight -= 1
             self.answered += 1
 
     def _refuse(self, exchange: Exchange, refusal: RelayRefusal) -> None:
         request_id = exchange.request.header(
-            self.admission.dialect.request_id,
+            self.admission.header_names.request_id,
         )
         self.parts.metrics.refusals.increment(refusal.reason)
         self.parts.log.write(
@@ -86,7 +88,7 @@
         send_refusal(exchange, refusal)
 
 
-Tell = Callable[[], tuple[int, str]]
+StatusSource = Callable[[], tuple[int, str]]
 
 
 @dataclass
@@ -100,7 +102,7 @@
     """
 
     clock: Clock
-    answer_by_path: dict[bytes, Tell]
+    source_by_path: dict[bytes, StatusSource]
     connections: set[CallerConnection] = field(default_factory=set)
     limits: CallerLimits = CallerLimits()
     is_draining: bool = False
@@ -108,7 +110,7 @@
     async def answer(self, exchange: Exchange) -> None:
         """Respond to one request."""
         path = exchange.request.target.partition(b'?')[0]
-        get_status = self.answer_by_path.get(path)
+        get_status = self.source_by_path.get(path)
         if get_status is None:
             exchange.respond(404, ())
             return
@@ -130,13 +132,15 @@
     )
 
 
-def _relay(call: RelayedCall, parts: RelayParts) -> PlainRelay | StreamRelay:
+def _make_relay(
+    call: RelayedCall, parts: RelayParts
+) -> PlainRelay | StreamRelay:
     if call.route.is_stream:
         return StreamRelay(call, parts)
     return PlainRelay(call, parts)
 
 
-def _draining() -> RelayRefusal:
+def _draining_refusal() -> RelayRefusal:
     return RelayRefusal(
         503,
         'draining',
--- a/bergamotthread/process/relay/upstreams.py
+++ b/bergamotthread/process/relay/upstreams.py
@@ -13,11 +13,11 @@
 # Time after which a lost upstream is tried again even if it stayed silent. The
 # store row of an upstream that has ended expires within three intervals of
 # 1.2 s, so by then only live upstreams are listed.
-LOST_MS = 4000
+LOST_RETRY_MS = 4000
 # With this many losses in one failure domain within `DOMAIN_LOSS_MS`, the other
 # upstreams of the domain are suspected until they send something.
-DOMAIN_LOSSES = 2
-DOMAIN_LOSS_MS = 1500
+DOMAIN_LOSSES_MIN = 2
+DOMAIN_LOSS_WINDOW_MS = 1500
 # Weight of the newest outcome in the average of failures.
 _OUTCOME_WEIGHT = 0.25
 # Failures decay with this half-life, so that a failing upstream is tried again.
@@ -49,7 +49,7 @@
     failure_domain: str
     state: UpstreamState
     slots: int = 0
-    born_ms: int = 0
+    started_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,13 +135,13 @@
         A record of an older incarnation at a known address is ignored.
         """
         listed = self._upstream_by_instance.get(record.instance)
-        if listed is not None and _is_same(listed.record, record):
+        if listed is not None and _is_same_incarnation(listed.record, record):
             listed.record = record
             listed.is_unlisted = False
             return None
-        replaced = listed or self._former(record)
+        replaced = listed or self._at_address(record)
         if replaced is not None:
-            if replaced.record.born_ms > record.born_ms:
+            if replaced.record.started_ms > record.started_ms:
                 return None
             self.remove(replaced.record.instance)
         upstream = Upstream(record, listed_ms=self.clock.now_ms())
@@ -172,7 +172,7 @@
     def of_service(self, service: str) -> Iterator[Upstream]:
         """Yield the upstreams of one service that accept new requests."""
         for upstream in self._upstream_by_instance.values():
-            if _takes_work(upstream, service):
+            if _accepts_requests(upstream, service):
                 yield upstream
 
     def by_affinity(self, service: str, key: bytes) -> Iterator[Upstream]:
@@ -183,7 +183,7 @@
         for address in self._ring(service).walk(key):
             instance = self._instance_by_address.get(address, '')
             upstream = self._upstream_by_instance.get(instance)
-            if upstream is not None and _takes_work(upstream, service):
+            if upstream is not None and _accepts_requests(upstream, service):
                 yield upstream
 
     def record_lost(self, upstream: Upstream) -> None:
@@ -193,7 +193,7 @@
         losses = self._losses_by_domain.setdefault(domain, deque())
         if not self.is_lost(upstream):
             losses.append(now_ms)
-        while losses and losses[0] < now_ms - DOMAIN_LOSS_MS:
+        while losses and losses[0] < now_ms - DOMAIN_LOSS_WINDOW_MS:
             losses.popleft()
         upstream.lost_ms = now_ms
 
@@ -221,9 +221,9 @@
         """Return whether an upstream is marked lost and not tried again yet."""
         if not upstream.lost_ms:
             return False
-        return self.clock.now_ms() - upstream.lost_ms < LOST_MS
+        return self.clock.now_ms() - upstream.lost_ms < LOST_RETRY_MS
 
-    def is_doubtful(self, upstream: Upstream) -> bool:
+    def is_suspected(self, upstream: Upstream) -> bool:
         """Return whether an upstream may have ended or be lost.
 
         It is suspected while its row is missing, or from several losses in its
@@ -234,28 +234,30 @@
         losses = self._losses_by_domain.get(upstream.record.failure_domain)
         if not losses:
             return False
-        start_ms = self.clock.now_ms() - DOMAIN_LOSS_MS
+        start_ms = self.clock.now_ms() - DOMAIN_LOSS_WINDOW_MS
         recent = [lost_ms for lost_ms in losses if lost_ms >= start_ms]
-        if len(recent) < DOMAIN_LOSSES:
+        if len(recent) < DOMAIN_LOSSES_MIN:
             return False
         return max(upstream.heard_ms, upstream.listed_ms) < recent[0]
 
     def _ring(self, service: str) -> HashRing:
         return self._ring_by_service.setdefault(service, HashRing(()))
 
-    def _former(self, record: UpstreamRecord) -> Upstream | None:
+    def _at_address(self, record: UpstreamRecord) -> Upstream | None:
         instance = self._instance_by_address.get(record.address, '')
         return self._upstream_by_instance.get(instance)
 
 
-def _takes_work(upstream: Upstream, service: str) -> bool:
+def _accepts_requests(upstream: Upstream, service: str) -> bool:
     record = upstream.record
     return record.state is UpstreamState.READY and record.service == service
 
 
-def _is_same(known: UpstreamRecord, told: UpstreamRecord) -> bool:
-    return (known.address, known.service, known.born_ms) == (
-        told.address,
-        told.service,
-        told.born_ms,
+def _is_same_incarnation(
+    listed: UpstreamRecord, updated: UpstreamRecord
+) -> bool:
+    return (listed.address, listed.service, listed.started_ms) == (
+        updated.address,
+        updated.service,
+        updated.started_ms,
     )
--- a/bergamotthread/request/relay/admission.py
+++ b/bergamotthread/request/relay/admission.py
@@ -17,7 +17,7 @@
 from bergamotthread.request.relay.dialect import (
     AUTHORIZATION,
     RESUME_AFTER,
-    RelayDialect,
+    RelayHeaderNames,
 )
 from bergamotthread.request.relay.refusals import RelayRefusal
 from bergamotthread.version.route_table import (
@@ -29,9 +29,9 @@
 
 # Sent as Retry-After where this entry has no version, or a stale one; another
 # entry is likely to have a current one.
-RETRY_AFTER_MS = 300
+NOT_READY_RETRY_AFTER_MS = 300
 # Time limit of a request whose caller sends none.
-DEFAULT_REMAINING_MS = 30_000.0
+DEFAULT_TIMEOUT_MS = 30_000.0
 _BEARER = b'bearer '
 
 
@@ -40,7 +40,7 @@
     """Checks requests against the current version of the configuration."""
 
     clock: Clock
-    dialect: RelayDialect
+    header_names: RelayHeaderNames
     freshness: VersionFreshness
     rng: random.Random
 
@@ -52,7 +52,7 @@
         """Return the admitted call, or the refusal to send."""
         request = exchange.request
         if table is None:
-            return _unready('this entry has not loaded a version yet')
+            return _not_ready_refusal('this entry has not loaded a version yet')
         route = table.match(request.header(b'host') or b'', request.target)
         if route is None:
             return RelayRefusal(
@@ -60,19 +60,19 @@
                 'no-route',
                 f'version {table.version} has no route for this host and path',
             )
-        team = self._team(request, route, table)
+        team = self._authenticate(request, route, table)
         if isinstance(team, RelayRefusal):
             return team
-        request_id = request.header(self.dialect.request_id)
+        request_id = request.header(self.header_names.request_id)
         if not request_id:
             return RelayRefusal(
                 400,
                 'no-request-id',
                 'the request identifier header is missing',
             )
-        return self._call(exchange, table, route, team)
+        return self._make_call(exchange, table, route, team)
 
-    def _team(
+    def _authenticate(
         self,
         request: CallerRequest,
         route: RelayRoute,
@@ -83,9 +83,9 @@
         team = table.team_by_key.get(_bearer_key(request), '')
         if not route.needs_key:
             return team
-        if not self.freshness.admits_keys:
+        if not self.freshness.may_accept_keys:
             age_ms = self.freshness.age_ms
-            return _unready(
+            return _not_ready_refusal(
                 f'keys not confirmed for {age_ms:.0f} ms, which is too long',
             )
         if not team:
@@ -96,7 +96,7 @@
             )
         return team
 
-    def _call(
+    def _make_call(
         self,
         exchange: Exchange,
         table: RouteTable,
@@ -104,16 +104,18 @@
         team: str,
     ) -> RelayedCall:
         request = exchange.request
-        service_name = _draw(route.services, self.rng)
+        service_name = _draw_service(route.services, self.rng)
         service = table.service_by_name.get(service_name)
-        requested_ms = _number(request.header(self.dialect.remaining_ms))
-        timeout_ms = requested_ms or DEFAULT_REMAINING_MS
+        requested_ms = _parse_number(
+            request.header(self.header_names.remaining_ms)
+        )
+        timeout_ms = requested_ms or DEFAULT_TIMEOUT_MS
         return RelayedCall(
             exchange=exchange,
             route=route,
             service=service or RelayService(service_name, '/health', 100),
             team=team,
-            request_id=request.header(self.dialect.request_id) or b'',
+            request_id=request.header(self.header_names.request_id) or b'',
             deadline_ms=request.received_ms + min(timeout_ms, route.timeout_ms),
             version=table.version,
             prompt_tokens=self._prompt_tokens(request, route),
@@ -122,19 +124,19 @@
         )
 
     def _affinity(self, request: CallerRequest) -> bytes:
-        prompt_parts = request.header(self.dialect.prompt_parts) or b''
+        prompt_parts = request.header(self.header_names.prompt_parts) or b''
         return prompt_parts.rpartition(b',')[2].partition(b':')[0].strip()
 
     def _prompt_tokens(self, request: CallerRequest, route: RelayRoute) -> int:
         if not route.is_stream:
             return 0
-        token_counts = request.header(self.dialect.token_counts) or b''
+        token_counts = request.header(self.header_names.token_counts) or b''
         prompt_tokens = token_counts.partition(b',')[0]
-        return int(_number(prompt_tokens) or DEFAULT_PROMPT_TOKENS)
+        return int(_parse_number(prompt_tokens) or DEFAULT_PROMPT_TOKENS)
 
 
-def _unready(detail: str) -> RelayRefusal:
-    return RelayRefusal(503, 'not-ready', detail, RETRY_AFTER_MS)
+def _not_ready_refusal(detail: str) -> RelayRefusal:
+    return RelayRefusal(503, 'not-ready', detail, NOT_READY_RETRY_AFTER_MS)
 
 
 def _bearer_key(request: CallerRequest) -> bytes:
@@ -144,7 +146,9 @@
     return authorization[len(_BEARER) :].strip()
 
 
-def _draw(services: Sequence[WeightedService], rng: random.Random) -> str:
+def _draw_service(
+    services: Sequence[WeightedService], rng: random.Random
+) -> str:
     if len(services) == 1:
         return services[0].service
     weights = [service.weight for service in services]
@@ -152,12 +156,12 @@
 
 
 def _event_id(request: CallerRequest) -> int | None:
-    event_id = _number(request.header(RESUME_AFTER))
+    event_id = _parse_number(request.header(RESUME_AFTER))
     return None if event_id is None else int(event_id)
 
 
-def _number(told: bytes | None) -> float | None:
+def _parse_number(text: bytes | None) -> float | None:
     try:
-        return float(told or b'')
+        return float(text or b'')
     except ValueError:
         return None
--- a/bergamotthread/request/relay/attempt.py
+++ b/bergamotthread/request/relay/attempt.py
@@ -34,10 +34,10 @@
 
 # Largest response that is buffered before it is sent to the caller; an entry
 # has 128 MB of memory.
-WHOLE_ANSWER_BYTES_MAX = 8_388_608
+BUFFERED_RESPONSE_BYTES_MAX = 8_388_608
 # A request that must not run twice reuses a connection only if it was in use
 # within this time, since an idle one may have been lost without notice.
-UNREPEATABLE_IDLE_MS = 2500
+NON_RETRYABLE_IDLE_MAX_MS = 2500
 # HTTP status of an upstream that is not the incarnation expected by the entry.
 MISDIRECTED = 421
 _OK = 200
@@ -89,11 +89,11 @@
             self._is_prefilling = False
             self.upstream.prefill_tokens -= self.call.prompt_tokens
 
-    async def send(self, told: AttemptHeaders) -> NotSent | None:
+    async def send(self, headers: AttemptHeaders) -> NotSent | None:
         """Send the request; return the outcome if it could not be sent."""
         may_retry = self.call.route.repeatability.may_repeat
-        idle_max_ms = IDLE_MAX_MS if may_retry else UNREPEATABLE_IDLE_MS
-        encoded = encode_attempt(self.call, told, self.parts.dialect)
+        idle_max_ms = IDLE_MAX_MS if may_retry else NON_RETRYABLE_IDLE_MAX_MS
+        encoded = encode_attempt(self.call, headers, self.parts.header_names)
         try:
             self._connection = await self.parts.pool.acquire(
                 self.upstream.address,
@@ -118,9 +118,11 @@
             self.parts.directory.record_heard(self.upstream)
         return received
 
-    def refusal(self, head: AnswerHead) -> NotRun | None:
+    def not_run_outcome(self, head: AnswerHead) -> NotRun | None:
         """Return `NotRun` if the head says that the request was not run."""
-        has_not_run_header = head.header(self.parts.dialect.not_run) is not None
+        has_not_run_header = (
+            head.header(self.parts.header_names.not_run) is not None
+        )
         if has_not_run_header or head.status == MISDIRECTED:
             return NotRun(head.status)
         return None
@@ -131,22 +133,22 @@
         Such a response can't come from the upstream itself.
         """
         is_success = _OK <= head.status < _FIRST_REDIRECT
-        signature = head.header(self.parts.dialect.signature)
+        signature = head.header(self.parts.header_names.signature)
         return is_success and signature is None
 
 
-async def read_whole(attempt: Attempt, patience_ms: float) -> AttemptOutcome:
+async def read_response(attempt: Attempt, timeout_ms: float) -> AttemptOutcome:
     """Return the complete response, or why there is none within the time."""
-    response = _HeldAnswer(attempt)
-    end_ms = attempt.parts.clock.now_ms() + patience_ms
+    response = _BufferedResponse(attempt)
+    end_ms = attempt.parts.clock.now_ms() + timeout_ms
     outcome: AttemptOutcome | None = None
     while outcome is None:
         remaining_ms = end_ms - attempt.parts.clock.now_ms()
-        outcome = response.take(await attempt.receive(remaining_ms))
+        outcome = response.add(await attempt.receive(remaining_ms))
     return outcome
 
 
-class _HeldAnswer:
+class _BufferedResponse:
     """Response that is buffered until it is complete."""
 
     def __init__(self, attempt: Attempt) -> None:
@@ -154,36 +156,36 @@
         self._head: AnswerHead | None = None
         self._body = bytearray()
 
-    def take(self, arrived: AnswerItem | None) -> AttemptOutcome | None:
+    def add(self, received: AnswerItem | None) -> AttemptOutcome | None:
         """Add an item; return the outcome if no more items are needed."""
-        match arrived:
+        match received:
             case AnswerHead():
-                return self._take_head(arrived)
+                return self._add_head(received)
             case AnswerPart(part):
-                return self._take_part(part)
+                return self._add_body_part(part)
             case AnswerEnd():
-                return self._whole()
+                return self._complete()
             case AnswerLost(reason):
                 return Broken(reason)
             case _:
                 return OutOfTime()
 
-    def _take_head(self, head: AnswerHead) -> AttemptOutcome | None:
+    def _add_head(self, head: AnswerHead) -> AttemptOutcome | None:
         self._head = head
         if self._attempt.lacks_signature(head):
             return Broken('successful response without a signature')
         return None
 
-    def _take_part(self, part: bytes) -> AttemptOutcome | None:
+    def _add_body_part(self, part: bytes) -> AttemptOutcome | None:
         self._body += part
-        if len(self._body) > WHOLE_ANSWER_BYTES_MAX:
+        if len(self._body) > BUFFERED_RESPONSE_BYTES_MAX:
             return Broken(
-                f'response of more than {WHOLE_ANSWER_BYTES_MAX} bytes',
+                f'response of more than {BUFFERED_RESPONSE_BYTES_MAX} bytes',
             )
         return None
 
-    def _whole(self) -> AttemptOutcome:
+    def _complete(self) -> AttemptOutcome:
         if self._head is None:
             return Broken('response ended without a status line')
-        refusal = self._attempt.refusal(self._head)
-        return refusal or Answered(self._head, bytes(self._body))
+        not_run = self._attempt.not_run_outcome(self._head)
+        return not_run or Answered(self._head, bytes(self._body))
--- a/bergamotthread/request/relay/attempt_loop.py
+++ b/bergamotthread/request/relay/attempt_loop.py
@@ -9,7 +9,7 @@
 from bergamotthread.request.relay.parts import RelayParts
 
 # Pause before placement is tried again where no upstream was available.
-LOOK_AGAIN_MS = 100
+PLACEMENT_RETRY_MS = 100
 
 _Place = TypeVar('_Place')
 
@@ -26,7 +26,7 @@
 
     call: RelayedCall
     parts: RelayParts
-    sent: int = 0
+    attempts_sent: int = 0
 
     @property
     def remaining_ms(self) -> float:
@@ -34,18 +34,18 @@
         return self.call.deadline_ms - self.parts.clock.now_ms()
 
     @property
-    def is_below_max(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Return whether fewer attempts were sent than the route allows."""
-        return self.sent < self.call.route.attempts_max
+        return self.attempts_sent < self.call.route.attempts_max
 
-    def is_affordable(self) -> bool:
+    def spend_attempt(self) -> bool:
         """Return whether the next attempt is the first or within the budget.
 
         A retry that is allowed is counted in the budget.
         """
-        if not self.sent:
+        if not self.attempts_sent:
             return True
-        return self.parts.budget.spend(self.call.service.name)
+        return self.parts.retry_budget.spend(self.call.service.name)
 
 
 class AttemptSteps(Protocol[_Place]):
@@ -60,7 +60,7 @@
     def may_wait(self) -> bool:
         """Return whether placement may be tried again after a pause."""
 
-    async def is_settled_at(self, place: _Place) -> bool:
+    async def run_attempt(self, place: _Place) -> bool:
         """Run an attempt; return whether no further attempt is needed."""
 
 
@@ -72,15 +72,15 @@
 
     A retry is counted in the budget only once there is an upstream for it.
     """
-    limits.parts.budget.record_first(limits.call.service.name)
+    limits.parts.retry_budget.record_first_attempt(limits.call.service.name)
     while limits.remaining_ms > 0 and steps.may_send():
         place = await steps.place()
         if place is None:
             if not steps.may_wait():
                 return False
-            await limits.parts.clock.sleep_ms(LOOK_AGAIN_MS)
-        elif not limits.is_affordable():
+            await limits.parts.clock.sleep_ms(PLACEMENT_RETRY_MS)
+        elif not limits.spend_attempt():
             return False
-        elif await steps.is_settled_at(place):
+        elif await steps.run_attempt(place):
             return True
     return False
--- a/bergamotthread/request/relay/call.py
+++ b/bergamotthread/request/relay/call.py
@@ -14,7 +14,7 @@
 from bergamotthread.request.relay.dialect import (
     AUTHORIZATION,
     RESUME_AFTER,
-    RelayDialect,
+    RelayHeaderNames,
 )
 from bergamotthread.version.route_table import RelayRoute, RelayService
 
@@ -56,7 +56,7 @@
         return self.exchange.request
 
     @property
-    def label(self) -> str:
+    def request_label(self) -> str:
         """Return the request's identifier as text, for logs and copies."""
         return self.request_id.decode('latin-1')
 
@@ -74,19 +74,19 @@
 
 def encode_attempt(
     call: RelayedCall,
-    told: AttemptHeaders,
-    dialect: RelayDialect,
+    headers: AttemptHeaders,
+    header_names: RelayHeaderNames,
 ) -> bytes:
     """Return the encoded request of one attempt."""
     request = call.request
     fields = [
         header
         for header in end_to_end(request.headers)
-        if _goes_on(header[0], dialect)
+        if _is_forwarded(header[0], header_names)
     ]
-    remaining_ms = max(int(told.remaining_ms), 1)
-    fields.extend(_known_fields(call, told, dialect))
-    fields.append((dialect.remaining_ms, b'%d' % remaining_ms))
+    remaining_ms = max(int(headers.remaining_ms), 1)
+    fields.extend(_optional_fields(call, headers, header_names))
+    fields.append((header_names.remaining_ms, b'%d' % remaining_ms))
     return encode_request(
         request.method,
         request.target,
@@ -95,26 +95,26 @@
     )
 
 
-def _goes_on(name: bytes, dialect: RelayDialect) -> bool:
-    if name in dialect.set_by_entry:
+def _is_forwarded(name: bytes, header_names: RelayHeaderNames) -> bool:
+    if name in header_names.set_by_entry:
         return False
     return name not in {AUTHORIZATION, RESUME_AFTER, b'expect'}
 
 
-def _known_fields(
+def _optional_fields(
     call: RelayedCall,
-    told: AttemptHeaders,
-    dialect: RelayDialect,
+    headers: AttemptHeaders,
+    header_names: RelayHeaderNames,
 ) -> list[Header]:
     optional = (
-        (dialect.expected_instance, told.instance),
-        (dialect.team, call.team),
-        (dialect.copy_target, told.copy_target),
-        (dialect.copy_source, told.copy_source),
-        (RESUME_AFTER, _text(told.resume_after)),
+        (header_names.expected_instance, headers.instance),
+        (header_names.team, call.team),
+        (header_names.copy_target, headers.copy_target),
+        (header_names.copy_source, headers.copy_source),
+        (RESUME_AFTER, _format_number(headers.resume_after)),
     )
     return [(name, text.encode()) for name, text in optional if text]
 
 
-def _text(number: int | None) -> str:
+def _format_number(number: int | None) -> str:
     return '' if number is None else str(number)
--- a/bergamotthread/request/relay/copies.py
+++ b/bergamotthread/request/relay/copies.py
@@ -11,18 +11,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bergamotthread.process.relay.choice import Work
+from bergamotthread.process.relay.choice import RelayPlacementRequest
 from bergamotthread.process.relay.upstreams import Upstream
 from bergamotthread.request.relay.parts import RelayParts
 
 # Interval between copies; holders drop a copy 4 s after its last part.
-RECOPY_MS = 2000
+RECOPY_INTERVAL_MS = 2000
 # Pause after a failed copy.
 COPY_RETRY_MS = 500
 
 
 @dataclass(frozen=True)
-class MemoryCopy:
+class KvCacheCopy:
     """Copy of a run's KV cache at another upstream.
 
     Parameters
@@ -37,7 +37,7 @@
     source: str
 
 
-class CopyKeeper:
+class CopyManager:
     """Maintains one usable copy of the KV cache of one run."""
 
     def __init__(
@@ -49,25 +49,27 @@
         self._parts = parts
         self._label = request_label
         self._tokens = tokens
-        self._counted: Upstream | None = None
-        self._copy: MemoryCopy | None = None
+        self._counted_holder: Upstream | None = None
+        self._copy: KvCacheCopy | None = None
         self._upstream: Upstream | None = None
         self._task: asyncio.Task[None] | None = None
-        self._due_ms: float = 0
-        self._is_streamed = False
+        self._next_copy_ms: float = 0
+        self._is_sent_by_upstream = False
 
-    def begin(self, upstream: Upstream, target: Upstream | None) -> None:
+    def start_attempt(
+        self, upstream: Upstream, copy_target: Upstream | None
+    ) -> None:
         """Start an attempt, whose upstream sends a copy to `target`."""
-        self.stop()
+        self.cancel()
         self._upstream = upstream
         self._copy = None
-        self._is_streamed = True
-        self._count(target)
-        if target is not None:
-            source = f'{target.address}/{self._label}'
-            self._copy = MemoryCopy(target, source)
+        self._is_sent_by_upstream = True
+        self._count_at(copy_target)
+        if copy_target is not None:
+            source = f'{copy_target.address}/{self._label}'
+            self._copy = KvCacheCopy(copy_target, source)
 
-    def keep(self, work: Callable[[], Work]) -> None:
+    def renew(self, make_request: Callable[[], RelayPlacementRequest]) -> None:
         """Replace or renew the copy if needed; called as events arrive.
 
         Parameters
@@ -77,26 +79,28 @@
             due.
         """
         now_ms = self._parts.clock.now_ms()
-        if self._task is not None or now_ms < self._due_ms:
+        if self._task is not None or now_ms < self._next_copy_ms:
             return
-        is_unusable = self._copy is None or bool(self._fault(self._copy))
-        if self._is_streamed and not is_unusable:
+        is_unusable = self._copy is None or bool(
+            self._unusable_reason(self._copy)
+        )
+        if self._is_sent_by_upstream and not is_unusable:
             return
-        target = self._target(work())
+        target = self._choose_holder(make_request())
         if target is not None and self._upstream is not None:
             self._task = asyncio.create_task(
-                self._renew(self._upstream, target),
+                self._copy_to(self._upstream, target),
             )
 
-    def take(self) -> MemoryCopy | None:
+    def pop(self) -> KvCacheCopy | None:
         """Remove and return the usable copy, or None if there is none."""
-        self.stop()
-        self._count(None)
+        self.cancel()
+        self._count_at(None)
         copy = self._copy
         self._copy = None
         if copy is None:
             return None
-        reason = self._fault(copy)
+        reason = self._unusable_reason(copy)
         if not reason:
             return copy
         self._parts.log.write(
@@ -108,37 +112,41 @@
         )
         return None
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Discard the record of the copy, without a call to its holder."""
-        self.stop()
-        self._count(None)
+        self.cancel()
+        self._count_at(None)
         self._copy = None
 
-    async def free(self) -> None:
+    async def release(self) -> None:
         """Free a copy that the entry had made and that is no longer needed.
 
         The memory of a copy is paid for by time.
         """
         copy = self._copy
-        self.drop()
-        if copy is not None and not self._is_streamed and self._upstream:
-            await self._parts.memory.drop(self._upstream, copy.source)
-
-    def stop(self) -> None:
+        self.discard()
+        if (
+            copy is not None
+            and not self._is_sent_by_upstream
+            and self._upstream
+        ):
+            await self._parts.kv_cache.drop(self._upstream, copy.source)
+
+    def cancel(self) -> None:
         """Cancel a copy that is under way."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
-    def _count(self, holder: Upstream | None) -> None:
+    def _count_at(self, holder: Upstream | None) -> None:
         """Count this run's tokens at `holder` instead of the former holder."""
-        if self._counted is not None:
-            self._counted.held_tokens -= self._tokens
+        if self._counted_holder is not None:
+            self._counted_holder.held_tokens -= self._tokens
         if holder is not None:
             holder.held_tokens += self._tokens
-        self._counted = holder
+        self._counted_holder = holder
 
-    def _fault(self, copy: MemoryCopy) -> str:
+    def _unusable_reason(self, copy: KvCacheCopy) -> str:
         """Return why a copy can't be used; empty if it is usable."""
         directory = self._parts.directory
         if directory.get(copy.holder.record.instance) is not copy.holder:
@@ -147,25 +155,25 @@
             return 'its holder is marked lost'
         return ''
 
-    def _target(self, work: Work) -> Upstream | None:
+    def _choose_holder(self, request: RelayPlacementRequest) -> Upstream | None:
         """Return the current holder, or a new one if the copy is unusable."""
         copy = self._copy
-        if copy is not None and not self._fault(copy):
+        if copy is not None and not self._unusable_reason(copy):
             return copy.holder
         if self._upstream is None:
             return None
         domain = self._upstream.record.failure_domain
-        return self._parts.choice.choose_elsewhere(work, domain)
+        return self._parts.choice.choose_copy_holder(request, domain)
 
-    async def _renew(self, upstream: Upstream, target: Upstream) -> None:
-        source = await self._parts.memory.copy(upstream, self._label, target)
+    async def _copy_to(self, upstream: Upstream, target: Upstream) -> None:
+        source = await self._parts.kv_cache.copy(upstream, self._label, target)
         self._task = None
-        pause_ms = RECOPY_MS if source else COPY_RETRY_MS
-        self._due_ms = self._parts.clock.now_ms() + pause_ms
+        pause_ms = RECOPY_INTERVAL_MS if source else COPY_RETRY_MS
+        self._next_copy_ms = self._parts.clock.now_ms() + pause_ms
         if source:
-            self._count(target)
-            self._copy = MemoryCopy(target, source)
-            self._is_streamed = False
+            self._count_at(target)
+            self._copy = KvCacheCopy(target, source)
+            self._is_sent_by_upstream = False
         self._parts.log.write(
             'memory-copied',
             request=self._label,
--- a/bergamotthread/request/relay/dialect.py
+++ b/bergamotthread/request/relay/dialect.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True)
-class RelayDialect:
+class RelayHeaderNames:
     """Names of header fields, in lower case.
 
     Parameters
--- a/bergamotthread/request/relay/engine_memory.py
+++ b/bergamotthread/request/relay/engine_memory.py
@@ -7,7 +7,7 @@
 from bergamotthread.process.relay.upstreams import Upstream
 
 
-class EngineMemory(ABC):
+class EngineKvCache(ABC):
     """Back end that queries and copies the KV caches of upstreams."""
 
     @abstractmethod
--- a/bergamotthread/request/relay/pace.py
+++ b/bergamotthread/request/relay/pace.py
@@ -6,7 +6,7 @@
 
 
 @dataclass
-class Pace:
+class ArrivalTimes:
     """Arrival times, either of one attempt or of the response to the caller.
 
     Parameters
@@ -21,8 +21,8 @@
         Time from the first event to the last.
     """
 
-    sent_ms: float
-    parts: int = 0
+    started_ms: float
+    count: int = 0
     first_ms: float = 0
     longest_gap_ms: float = 0
     span_ms: float = 0
@@ -30,9 +30,9 @@
 
     def record(self, now_ms: float) -> None:
         """Record the arrival of a part or event."""
-        self.parts += 1
-        if self.parts == 1:
-            self.first_ms = now_ms - self.sent_ms
+        self.count += 1
+        if self.count == 1:
+            self.first_ms = now_ms - self.started_ms
         else:
             gap_ms = now_ms - self._last_ms
             self.span_ms += gap_ms
--- a/bergamotthread/request/relay/parts.py
+++ b/bergamotthread/request/relay/parts.py
@@ -10,10 +10,10 @@
 from bergamotthread.process.relay.decision_log import DecisionLog
 from bergamotthread.process.relay.liveness import LivenessWatch
 from bergamotthread.process.relay.relay_metrics import RelayMetrics
-from bergamotthread.process.relay.repeat_budget import RepeatBudget
+from bergamotthread.process.relay.repeat_budget import ServiceRetryBudget
 from bergamotthread.process.relay.upstreams import UpstreamDirectory
-from bergamotthread.request.relay.dialect import RelayDialect
-from bergamotthread.request.relay.engine_memory import EngineMemory
+from bergamotthread.request.relay.dialect import RelayHeaderNames
+from bergamotthread.request.relay.engine_memory import EngineKvCache
 
 
 @dataclass(frozen=True)
@@ -24,9 +24,9 @@
     pool: UpstreamPool
     directory: UpstreamDirectory
     choice: UpstreamChoice
-    budget: RepeatBudget
+    retry_budget: ServiceRetryBudget
     liveness: LivenessWatch
-    memory: EngineMemory
-    dialect: RelayDialect
+    kv_cache: EngineKvCache
+    header_names: RelayHeaderNames
     log: DecisionLog
     metrics: RelayMetrics
--- a/bergamotthread/request/relay/placement.py
+++ b/bergamotthread/request/relay/placement.py
@@ -5,15 +5,15 @@
 import asyncio
 from dataclasses import dataclass
 
-from bergamotthread.process.relay.choice import Work
+from bergamotthread.process.relay.choice import RelayPlacementRequest
 from bergamotthread.process.relay.upstreams import Upstream
 from bergamotthread.request.relay.call import RelayedCall
-from bergamotthread.request.relay.copies import MemoryCopy
+from bergamotthread.request.relay.copies import KvCacheCopy
 from bergamotthread.request.relay.parts import RelayParts
 
 
 @dataclass(frozen=True)
-class Placement:
+class AttemptPlacement:
     """Upstream of an attempt, with its copies of the KV cache.
 
     Parameters
@@ -25,8 +25,8 @@
     """
 
     upstream: Upstream
-    copy: MemoryCopy | None = None
-    target: Upstream | None = None
+    copy: KvCacheCopy | None = None
+    copy_target: Upstream | None = None
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,9 @@
         engine = self.call.service.engine
         return engine is not None and engine.copies_memory
 
-    def work(self, excluded: frozenset[str], *, is_first: bool) -> Work:
+    def placement_request(
+        self, excluded: frozenset[str], *, is_first: bool
+    ) -> RelayPlacementRequest:
         """Return what an attempt requires of an upstream.
 
         Parameters
@@ -53,21 +55,25 @@
             Whether no attempt of this call was sent yet.
         """
         call = self.call
-        return Work(
+        return RelayPlacementRequest(
             call.service.name,
             prompt_tokens=call.prompt_tokens,
             excluded=excluded,
             affinity=call.affinity,
-            is_return=is_first and call.resume_after is not None,
+            is_reconnect=is_first and call.resume_after is not None,
         )
 
-    def from_copy(self, copy: MemoryCopy, work: Work) -> Placement:
+    def place_at_copy(
+        self, copy: KvCacheCopy, request: RelayPlacementRequest
+    ) -> AttemptPlacement:
         """Place an attempt at the holder of a copy."""
         domain = copy.holder.record.failure_domain
-        target = self.parts.choice.choose_elsewhere(work, domain)
-        return Placement(copy.holder, copy, target)
+        copy_target = self.parts.choice.choose_copy_holder(request, domain)
+        return AttemptPlacement(copy.holder, copy, copy_target)
 
-    async def place(self, work: Work) -> Placement | None:
+    async def place(
+        self, request: RelayPlacementRequest
+    ) -> AttemptPlacement | None:
         """Place an attempt that resumes from no copy.
 
         Returns
@@ -75,36 +81,36 @@
         Placement or None
             None if no upstream is available now.
         """
-        candidates = self.parts.choice.draw(work)
+        candidates = self.parts.choice.draw_candidates(request)
         if not candidates:
             return None
-        cached = await self._with_cache(candidates, work)
-        alive = cached or await self._alive(candidates)
+        cached = await self._caching_candidates(candidates, request)
+        alive = cached or await self._alive_candidates(candidates)
         if not alive:
-            return Placement(candidates[0])
-        return self._cheapest(alive, work)
+            return AttemptPlacement(candidates[0])
+        return self._cheapest(alive, request)
 
-    async def _with_cache(
+    async def _caching_candidates(
         self,
         candidates: list[Upstream],
-        work: Work,
+        request: RelayPlacementRequest,
     ) -> list[Upstream]:
         """Return candidates that cache the prompt of a reconnecting caller.
 
         The stream was cut at another entry, and only that entry knew which
         upstream ran it.
         """
-        if not work.is_return or not work.affinity:
+        if not request.is_reconnect or not request.affinity:
             return []
         cached = await asyncio.gather(
             *(
-                self.parts.memory.cached_tokens(upstream, work.affinity)
+                self.parts.kv_cache.cached_tokens(upstream, request.affinity)
                 for upstream in candidates
             ),
         )
         self.parts.log.write(
             'cache-found',
-            request=self.call.label,
+            request=self.call.request_label,
             tokens=max(cached),
             candidates=len(candidates),
         )
@@ -114,9 +120,14 @@
             if tokens
         ]
 
-    async def _alive(self, candidates: list[Upstream]) -> list[Upstream]:
+    async def _alive_candidates(
+        self, candidates: list[Upstream]
+    ) -> list[Upstream]:
         answers = await asyncio.gather(
-            *(self.parts.liveness.refresh(upstream) for upstream in candidates),
+            *(
+                self.parts.liveness.refresh_report(upstream)
+                for upstream in candidates
+            ),
         )
         return [
             upstream
@@ -124,11 +135,13 @@
             if is_alive
         ]
 
-    def _cheapest(self, alive: list[Upstream], work: Work) -> Placement:
+    def _cheapest(
+        self, alive: list[Upstream], request: RelayPlacementRequest
+    ) -> AttemptPlacement:
         choice = self.parts.choice
         costs = {
-            upstream.record.instance: choice.cost_ms(upstream, work)
-            + choice.rank_ms(rank, work)
+            upstream.record.instance: choice.cost_ms(upstream, request)
+            + choice.rank_cost_ms(rank, request)
             for rank, upstream in enumerate(alive)
         }
         ranked = sorted(
@@ -142,23 +155,23 @@
             for upstream in ranked
             if upstream.record.failure_domain != domain
         ]
-        target = choice.holder_among(elsewhere or ranked[1:])
+        copy_target = choice.copy_holder_among(elsewhere or ranked[1:])
         if not self.may_copy:
-            target = None
+            copy_target = None
         self.parts.log.write(
             'placed',
-            request=self.call.label,
+            request=self.call.request_label,
             upstream=chosen.record.instance,
             domain=domain,
-            holder=target.record.instance if target else '',
+            holder=copy_target.record.instance if copy_target else '',
             rank=alive.index(chosen),
             candidates=len(alive),
             cost_ms=round(costs[chosen.record.instance]),
             report_age_ms=round(self._report_age_ms(chosen)),
-            is_return=work.is_return,
-            prompt_tokens=work.prompt_tokens,
+            is_return=request.is_reconnect,
+            prompt_tokens=request.prompt_tokens,
         )
-        return Placement(chosen, target=target)
+        return AttemptPlacement(chosen, copy_target=copy_target)
 
     def _report_age_ms(self, upstream: Upstream) -> float:
         if upstream.report is None:
--- a/bergamotthread/request/relay/plain_relay.py
+++ b/bergamotthread/request/relay/plain_relay.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from bergamotthread.connection.http.messages import end_to_end
-from bergamotthread.process.relay.choice import Work
+from bergamotthread.process.relay.choice import RelayPlacementRequest
 from bergamotthread.process.relay.upstreams import Upstream
-from bergamotthread.request.relay.attempt import Attempt, read_whole
+from bergamotthread.request.relay.attempt import Attempt, read_response
 from bergamotthread.request.relay.attempt_loop import (
     AttemptLimits,
     run_attempts,
@@ -24,12 +24,12 @@
 
 # Fraction of the target response time after which a request that may be retried
 # is sent to another upstream.
-PATIENCE_SHARE = 0.6
+FIRST_ATTEMPT_TARGET_FRACTION = 0.6
 # Time beyond the deadline for the upstream's own response that it has passed.
-ANSWER_MARGIN_MS = 30
+DEADLINE_MARGIN_MS = 30
 # Fraction of a request's time limit for which it waits for an upstream.
-WAIT_SHARE = 0.2
-RETRY_AFTER_MS = 300
+PLACEMENT_TIMEOUT_FRACTION = 0.2
+NO_UPSTREAM_RETRY_AFTER_MS = 300
 _SERVER_ERROR = 500
 
 
@@ -42,10 +42,12 @@
         self._excluded: frozenset[str] = frozenset()
         self._limits = AttemptLimits(call, parts)
         self._may_have_run = False
-        self._last = ''
+        self._last_outcome = ''
         received_ms = call.request.received_ms
         timeout_ms = call.deadline_ms - received_ms
-        self._look_until_ms = received_ms + timeout_ms * WAIT_SHARE
+        self._placement_deadline_ms = (
+            received_ms + timeout_ms * PLACEMENT_TIMEOUT_FRACTION
+        )
 
     async def run(self) -> None:
         """Run the attempts and respond to the caller."""
@@ -54,11 +56,13 @@
 
     def may_send(self) -> bool:
         """Return whether the route allows another attempt."""
-        return self._limits.is_below_max
+        return self._limits.has_attempts_left
 
     async def place(self) -> Upstream | None:
         """Return the upstream of the next attempt, or None if none for now."""
-        work = Work(self._call.service.name, excluded=self._excluded)
+        work = RelayPlacementRequest(
+            self._call.service.name, excluded=self._excluded
+        )
         upstream = self._parts.choice.choose(work)
         if upstream is None and self._excluded:
             self._excluded = frozenset()
@@ -66,13 +70,13 @@
 
     def may_wait(self) -> bool:
         """Return whether placement may be tried again after a pause."""
-        return self._parts.clock.now_ms() <= self._look_until_ms
+        return self._parts.clock.now_ms() <= self._placement_deadline_ms
 
-    async def is_settled_at(self, place: Upstream) -> bool:
+    async def run_attempt(self, place: Upstream) -> bool:
         """Run an attempt; return whether the caller has its response."""
         outcome = await self._attempt(place)
         self._log_outcome(place, outcome)
-        return self._settles(place, outcome)
+        return self._handle_outcome(place, outcome)
 
     async def _attempt(self, upstream: Upstream) -> AttemptOutcome:
         headers = AttemptHeaders(
@@ -83,26 +87,28 @@
             not_sent = await attempt.send(headers)
             if not_sent is not None:
                 return not_sent
-            self._limits.sent += 1
-            return await read_whole(attempt, self._patience_ms())
+            self._limits.attempts_sent += 1
+            return await read_response(attempt, self._attempt_timeout_ms())
 
-    def _patience_ms(self) -> float:
+    def _attempt_timeout_ms(self) -> float:
         """Return the timeout of the attempt that was just sent."""
-        remaining_ms = self._limits.remaining_ms + ANSWER_MARGIN_MS
+        remaining_ms = self._limits.remaining_ms + DEADLINE_MARGIN_MS
         may_retry = self._call.route.repeatability.may_repeat
-        if not may_retry or self._limits.sent > 1:
+        if not may_retry or self._limits.attempts_sent > 1:
             return remaining_ms
         target_ms = self._call.route.first_event_goal_ms
-        return min(remaining_ms, target_ms * PATIENCE_SHARE)
+        return min(remaining_ms, target_ms * FIRST_ATTEMPT_TARGET_FRACTION)
 
-    def _settles(self, upstream: Upstream, outcome: AttemptOutcome) -> bool:
+    def _handle_outcome(
+        self, upstream: Upstream, outcome: AttemptOutcome
+    ) -> bool:
         """Handle an outcome; return whether the caller has its response."""
         failed = not isinstance(outcome, Answered)
         self._parts.directory.record_outcome(upstream, failed=failed)
         self._excluded |= {upstream.record.instance}
         match outcome:
             case Answered(head, body):
-                if head.status >= _SERVER_ERROR and self._may_repeat():
+                if head.status >= _SERVER_ERROR and self._may_retry():
                     self._may_have_run = True
                     return False
                 headers = end_to_end(head.headers)
@@ -113,17 +119,17 @@
                 return False
             case _:
                 self._may_have_run = True
-                return self._settle_unknown(outcome)
+                return self._refuse_unless_retryable(outcome)
 
-    def _may_repeat(self) -> bool:
+    def _may_retry(self) -> bool:
         return (
             self._call.route.repeatability.may_repeat
             and self.may_send()
             and self._limits.remaining_ms > 0
         )
 
-    def _settle_unknown(self, outcome: AttemptOutcome) -> bool:
-        if self._may_repeat():
+    def _refuse_unless_retryable(self, outcome: AttemptOutcome) -> bool:
+        if self._may_retry():
             return False
         if isinstance(outcome, OutOfTime):
             refusal = RelayRefusal(
@@ -132,18 +138,18 @@
                 'the upstream sent no response in time',
             )
         else:
-            refusal = RelayRefusal(502, 'upstream-lost', self._last)
+            refusal = RelayRefusal(502, 'upstream-lost', self._last_outcome)
         self._refuse(refusal)
         return True
 
     def _final_refusal(self) -> RelayRefusal:
         if self._may_have_run:
-            return RelayRefusal(502, 'upstream-lost', self._last)
+            return RelayRefusal(502, 'upstream-lost', self._last_outcome)
         return RelayRefusal(
             503,
             'no-upstream',
-            self._last or 'no upstream is available',
-            RETRY_AFTER_MS,
+            self._last_outcome or 'no upstream is available',
+            NO_UPSTREAM_RETRY_AFTER_MS,
         )
 
     def _count_answer(self, status: int) -> None:
@@ -156,12 +162,12 @@
         self._parts.metrics.refusals.increment(refusal.reason)
         self._parts.log.write(
             'refused',
-            request=self._call.label,
+            request=self._call.request_label,
             status=refusal.status,
             reason=refusal.reason,
             detail=refusal.detail,
             version=self._call.version,
-            sent=self._limits.sent,
+            sent=self._limits.attempts_sent,
         )
         send_refusal(self._call.exchange, refusal)
 
@@ -171,16 +177,16 @@
         outcome: AttemptOutcome,
     ) -> None:
         if isinstance(outcome, Broken | NotSent):
-            self._last = outcome.reason
+            self._last_outcome = outcome.reason
         elif not isinstance(outcome, Answered):
-            self._last = repr(outcome)
+            self._last_outcome = repr(outcome)
         self._parts.metrics.attempts.increment(type(outcome).__name__)
         self._parts.log.write(
             'attempt',
-            request=self._call.label,
+            request=self._call.request_label,
             upstream=upstream.record.instance,
             domain=upstream.record.failure_domain,
             outcome=type(outcome).__name__,
-            detail=self._last,
+            detail=self._last_outcome,
             in_flight=upstream.in_flight,
         )
--- a/bergamotthread/request/relay/stream_relay.py
+++ b/bergamotthread/request/relay/stream_relay.py
@@ -18,10 +18,10 @@
     Framing,
     end_to_end,
 )
-from bergamotthread.process.relay.choice import Work
+from bergamotthread.process.relay.choice import RelayPlacementRequest
 from bergamotthread.process.relay.liveness import (
-    READING_SILENCE_MS,
-    SILENCE_MS,
+    PREFILL_SILENCE_MS,
+    STREAM_SILENCE_MS,
 )
 from bergamotthread.process.relay.upstreams import Upstream
 from bergamotthread.request.relay.attempt import MISDIRECTED, Attempt
@@ -30,7 +30,7 @@
     run_attempts,
 )
 from bergamotthread.request.relay.call import AttemptHeaders, RelayedCall
-from bergamotthread.request.relay.copies import CopyKeeper
+from bergamotthread.request.relay.copies import CopyManager
 from bergamotthread.request.relay.events import (
     EventSplitter,
     EventTooLongError,
@@ -45,20 +45,23 @@
     OutOfTime,
     StreamEnded,
 )
-from bergamotthread.request.relay.pace import Pace
+from bergamotthread.request.relay.pace import ArrivalTimes
 from bergamotthread.request.relay.parts import RelayParts
-from bergamotthread.request.relay.placement import Placement, StreamPlacer
+from bergamotthread.request.relay.placement import (
+    AttemptPlacement,
+    StreamPlacer,
+)
 from bergamotthread.request.relay.refusals import RelayRefusal, send_refusal
 
 # A stream without an event for this long is resumed at another upstream even if
 # its own still answers probes; prefill of other prompts delays events by up to
 # 300 ms.
-STALL_MS = 1200
+STALL_TIMEOUT_MS = 1200
 # The same limit before the first event of a run that resumes from a copy.
-COPY_STALL_MS = 1500
+RESUME_STALL_TIMEOUT_MS = 1500
 # Fraction of the first-event target for which a stream waits for an upstream.
-WAIT_SHARE = 0.4
-RETRY_AFTER_MS = 500
+PLACEMENT_TARGET_FRACTION = 0.4
+NO_UPSTREAM_RETRY_AFTER_MS = 500
 _OK = 200
 
 
@@ -73,23 +76,27 @@
         self._may_have_run = False
         self._last_event = call.resume_after
         self._placer = StreamPlacer(call, parts)
-        self._copies = CopyKeeper(parts, call.label, call.prompt_tokens)
-        self._pace = Pace(parts.clock.now_ms())
-        self._caller_pace = Pace(call.request.received_ms)
+        self._copy_manager = CopyManager(
+            parts, call.request_label, call.prompt_tokens
+        )
+        self._attempt_times = ArrivalTimes(parts.clock.now_ms())
+        self._caller_times = ArrivalTimes(call.request.received_ms)
         self._is_from_copy = False
-        self._last = ''
+        self._last_outcome = ''
         target_ms = call.route.first_event_goal_ms
         received_ms = call.request.received_ms
-        self._look_until_ms = received_ms + target_ms * WAIT_SHARE
+        self._placement_deadline_ms = (
+            received_ms + target_ms * PLACEMENT_TARGET_FRACTION
+        )
 
     async def run(self) -> None:
         """Run the attempts and respond to the caller."""
         try:
             if not await run_attempts(self._limits, self):
-                self._give_up()
-            await self._copies.free()
+                self._refuse_or_abort()
+            await self._copy_manager.release()
         finally:
-            self._copies.drop()
+            self._copy_manager.discard()
 
     def may_send(self) -> bool:
         """Return whether the route allows another attempt.
@@ -99,17 +106,17 @@
         may_retry = self._call.route.repeatability.may_repeat
         if self._may_have_run and not may_retry:
             return False
-        return self._limits.is_below_max
+        return self._limits.has_attempts_left
 
-    async def place(self) -> Placement | None:
+    async def place(self) -> AttemptPlacement | None:
         """Return where the next attempt goes, or None if nowhere for now."""
-        copy = self._copies.take()
-        if copy is not None and self._pace.parts:
-            return self._placer.from_copy(
+        copy = self._copy_manager.pop()
+        if copy is not None and self._attempt_times.count:
+            return self._placer.place_at_copy(
                 copy,
-                self._work(copy.holder.record.instance),
+                self._placement_request(copy.holder.record.instance),
             )
-        placement = await self._placer.place(self._work())
+        placement = await self._placer.place(self._placement_request())
         if placement is None:
             self._excluded = frozenset()
         return placement
@@ -121,78 +128,82 @@
         """
         if self._call.exchange.has_head or self._may_have_run:
             return True
-        return self._parts.clock.now_ms() <= self._look_until_ms
+        return self._parts.clock.now_ms() <= self._placement_deadline_ms
 
-    async def is_settled_at(self, place: Placement) -> bool:
+    async def run_attempt(self, place: AttemptPlacement) -> bool:
         """Run an attempt; return whether no further attempt is needed."""
         outcome = await self._attempt(place)
         self._log_outcome(place, outcome)
-        return self._settles(place, outcome)
+        return self._handle_outcome(place, outcome)
 
-    def _work(self, *excluded: str) -> Work:
-        return self._placer.work(
+    def _placement_request(self, *excluded: str) -> RelayPlacementRequest:
+        return self._placer.placement_request(
             self._excluded.union(excluded),
-            is_first=not self._limits.sent,
+            is_first=not self._limits.attempts_sent,
         )
 
-    async def _attempt(self, placement: Placement) -> AttemptOutcome:
+    async def _attempt(self, placement: AttemptPlacement) -> AttemptOutcome:
         upstream = placement.upstream
-        target = placement.target
+        copy_target = placement.copy_target
         copy = placement.copy
         headers = AttemptHeaders(
             upstream.record.instance,
             self._limits.remaining_ms,
             resume_after=self._last_event,
-            copy_target=target.address if target else '',
+            copy_target=copy_target.address if copy_target else '',
             copy_source=copy.source if copy else '',
         )
         with Attempt(self._call, upstream, self._parts) as attempt:
             not_sent = await attempt.send(headers)
             if not_sent is not None:
                 return not_sent
-            self._limits.sent += 1
-            self._pace = Pace(attempt.sent_ms)
+            self._limits.attempts_sent += 1
+            self._attempt_times = ArrivalTimes(attempt.sent_ms)
             self._is_from_copy = copy is not None
-            self._copies.begin(upstream, target)
+            self._copy_manager.start_attempt(upstream, copy_target)
             return await self._relay(attempt)
 
     async def _relay(self, attempt: Attempt) -> AttemptOutcome:
         splitter = EventSplitter()
-        head = await self._next(attempt)
+        head = await self._receive_next(attempt)
         if not isinstance(head, AnswerHead):
-            return self._end(head, None, splitter)
-        head_outcome = self._take_head(attempt, head)
+            return self._end_outcome(head, None, splitter)
+        head_outcome = self._forward_head(attempt, head)
         if head_outcome is not None:
             return head_outcome
-        received = await self._next(attempt)
+        received = await self._receive_next(attempt)
         while isinstance(received, AnswerPart):
             attempt.end_prefill()
-            self._pace.record(self._parts.clock.now_ms())
+            self._attempt_times.record(self._parts.clock.now_ms())
             if self._placer.may_copy:
-                self._copies.keep(self._work)
+                self._copy_manager.renew(self._placement_request)
             try:
-                await self._take_part(received.payload, splitter)
+                await self._forward_events(received.payload, splitter)
             except EventTooLongError as error:
                 return Broken(str(error))
-            received = await self._next(attempt)
-        return self._end(received, head, splitter)
+            received = await self._receive_next(attempt)
+        return self._end_outcome(received, head, splitter)
 
-    async def _take_part(
+    async def _forward_events(
         self,
         payload: bytes,
         splitter: EventSplitter,
     ) -> None:
         for event in splitter.feed(payload):
-            self._pass_on(event)
+            self._forward(event)
         await self._call.exchange.writable()
 
-    async def _next(self, attempt: Attempt) -> AnswerItem | None:
+    async def _receive_next(self, attempt: Attempt) -> AnswerItem | None:
         """Return the next item of the response; None at the deadline.
 
         A silent upstream is probed, and marked lost if it does not respond.
         """
         started_ms = self._parts.clock.now_ms()
-        silence_ms = SILENCE_MS if self._pace.parts else READING_SILENCE_MS
+        silence_ms = (
+            STREAM_SILENCE_MS
+            if self._attempt_times.count
+            else PREFILL_SILENCE_MS
+        )
         while True:
             wait_ms = min(silence_ms, attempt.remaining_ms)
             received = await attempt.receive(wait_ms)
@@ -205,51 +216,51 @@
                 received = await attempt.receive(0)
                 return received or AnswerLost('upstream did not answer a probe')
             silent_ms = self._parts.clock.now_ms() - started_ms
-            if silent_ms > self._stall_ms:
+            if silent_ms > self._stall_timeout_ms:
                 return AnswerLost(
                     f'stream stalled: no event for {silent_ms:.0f} ms',
                 )
 
     @property
-    def _stall_ms(self) -> float:
+    def _stall_timeout_ms(self) -> float:
         """Return the longest time to wait for the next event."""
-        if self._pace.parts:
-            return STALL_MS
-        return COPY_STALL_MS if self._is_from_copy else math.inf
+        if self._attempt_times.count:
+            return STALL_TIMEOUT_MS
+        return RESUME_STALL_TIMEOUT_MS if self._is_from_copy else math.inf
 
-    def _take_head(
+    def _forward_head(
         self,
         attempt: Attempt,
         head: AnswerHead,
     ) -> AttemptOutcome | None:
         """Forward the first head; return an outcome if no stream follows."""
-        refusal = attempt.refusal(head)
-        if refusal is not None:
-            return refusal
+        not_run = attempt.not_run_outcome(head)
+        if not_run is not None:
+            return not_run
         if head.status != _OK or attempt.lacks_signature(head):
             return Answered(head, b'')
         if not self._call.exchange.has_head:
             self._call.exchange.start(_OK, end_to_end(head.headers))
         return None
 
-    def _pass_on(self, event: StreamEvent) -> None:
+    def _forward(self, event: StreamEvent) -> None:
         last_event = self._last_event
         if event.event_id is not None:
             if last_event is not None and event.event_id <= last_event:
                 return
             self._last_event = event.event_id
-        self._caller_pace.record(self._parts.clock.now_ms())
+        self._caller_times.record(self._parts.clock.now_ms())
         self._call.exchange.write(event.payload)
 
-    def _end(
+    def _end_outcome(
         self,
-        arrived: AnswerItem | None,
+        received: AnswerItem | None,
         head: AnswerHead | None,
         splitter: EventSplitter,
     ) -> AttemptOutcome:
-        if isinstance(arrived, AnswerLost):
-            return Broken(arrived.reason)
-        if not isinstance(arrived, AnswerEnd):
+        if isinstance(received, AnswerLost):
+            return Broken(received.reason)
+        if not isinstance(received, AnswerEnd):
             return OutOfTime()
         if splitter.has_partial:
             return Broken('the stream ended in the middle of an event')
@@ -257,7 +268,9 @@
             return Broken('connection closed, but the stream has no end marker')
         return StreamEnded()
 
-    def _settles(self, placement: Placement, outcome: AttemptOutcome) -> bool:
+    def _handle_outcome(
+        self, placement: AttemptPlacement, outcome: AttemptOutcome
+    ) -> bool:
         """Handle an outcome; return whether no further attempt is needed."""
         failed = not isinstance(outcome, StreamEnded)
         upstream = placement.upstream
@@ -270,20 +283,20 @@
                 self._log_end()
                 return True
             case NotSent() | NotRun():
-                self._copies.drop()
-                self._note_refused(upstream, outcome)
+                self._copy_manager.discard()
+                self._mark_lost_if_misdirected(upstream, outcome)
                 return False
             case OutOfTime():
-                self._give_up()
+                self._refuse_or_abort()
                 return True
             case _:
                 self._may_have_run = True
                 if isinstance(outcome, Broken):
                     self._parts.directory.record_lost(upstream)
-                    self._parts.liveness.verify_soon(upstream)
+                    self._parts.liveness.check_in_background(upstream)
                 return False
 
-    def _note_refused(
+    def _mark_lost_if_misdirected(
         self,
         upstream: Upstream,
         outcome: NotSent | NotRun,
@@ -292,7 +305,7 @@
         if isinstance(outcome, NotRun) and outcome.status == MISDIRECTED:
             self._parts.directory.record_lost(upstream)
 
-    def _give_up(self) -> None:
+    def _refuse_or_abort(self) -> None:
         """Send a refusal, or cut a response that has begun.
 
         A cut response can't be mistaken for a complete one.
@@ -302,8 +315,8 @@
             self._call.exchange.abort()
             return
         if self._may_have_run:
-            refusal = RelayRefusal(502, 'upstream-lost', self._last)
-        elif self._limits.sent and self._limits.remaining_ms <= 0:
+            refusal = RelayRefusal(502, 'upstream-lost', self._last_outcome)
+        elif self._limits.attempts_sent and self._limits.remaining_ms <= 0:
             refusal = RelayRefusal(
                 504,
                 'timeout',
@@ -313,8 +326,8 @@
             refusal = RelayRefusal(
                 503,
                 'no-upstream',
-                self._last or 'no upstream is available',
-                RETRY_AFTER_MS,
+                self._last_outcome or 'no upstream is available',
+                NO_UPSTREAM_RETRY_AFTER_MS,
             )
         self._log_refusal(refusal.status, refusal.reason)
         send_refusal(self._call.exchange, refusal)
@@ -323,53 +336,53 @@
         self._parts.metrics.refusals.increment(reason)
         self._parts.log.write(
             'refused',
-            request=self._call.label,
+            request=self._call.request_label,
             status=status,
             reason=reason,
-            detail=self._last,
+            detail=self._last_outcome,
             version=self._call.version,
-            sent=self._limits.sent,
+            sent=self._limits.attempts_sent,
             last_event=self._last_event,
         )
 
     def _log_end(self) -> None:
-        pace = self._caller_pace
+        times = self._caller_times
         metrics = self._parts.metrics
         metrics.answers.increment(str(_OK))
-        metrics.first_event_ms.record(pace.first_ms)
-        metrics.pause_ms.record(pace.longest_gap_ms)
+        metrics.first_event_ms.record(times.first_ms)
+        metrics.longest_pause_ms.record(times.longest_gap_ms)
         self._parts.log.write(
             'stream-ended',
-            request=self._call.label,
-            attempts=self._limits.sent,
-            events=pace.parts,
-            first_ms=round(pace.first_ms),
-            longest_pause_ms=round(pace.longest_gap_ms),
-            span_ms=round(pace.span_ms),
+            request=self._call.request_label,
+            attempts=self._limits.attempts_sent,
+            events=times.count,
+            first_ms=round(times.first_ms),
+            longest_pause_ms=round(times.longest_gap_ms),
+            span_ms=round(times.span_ms),
         )
 
     def _log_outcome(
         self,
-        placement: Placement,
+        placement: AttemptPlacement,
         outcome: AttemptOutcome,
     ) -> None:
         match outcome:
             case Broken(reason) | NotSent(reason):
-                self._last = reason
+                self._last_outcome = reason
             case _:
-                self._last = repr(outcome)
+                self._last_outcome = repr(outcome)
         upstream = placement.upstream
         self._parts.metrics.attempts.increment(type(outcome).__name__)
         self._parts.log.write(
             'attempt',
-            request=self._call.label,
+            request=self._call.request_label,
             upstream=upstream.record.instance,
             domain=upstream.record.failure_domain,
             outcome=type(outcome).__name__,
-            detail=self._last,
+            detail=self._last_outcome,
             from_copy=placement.copy is not None,
             last_event=self._last_event,
-            parts=self._pace.parts,
-            first_ms=round(self._pace.first_ms),
-            longest_gap_ms=round(self._pace.longest_gap_ms),
+            parts=self._attempt_times.count,
+            first_ms=round(self._attempt_times.first_ms),
+            longest_gap_ms=round(self._attempt_times.longest_gap_ms),
         )
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -138,7 +138,7 @@
     record = decode_runner('i-1', _row(state='draining'))
     assert record.failure_domain == 'a-1'
     assert record.state is UpstreamState.DRAINING
-    assert record.born_ms == 7
+    assert record.started_ms == 7
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_entry.py
+++ b/tests/test_platform_entry.py
@@ -7,8 +7,8 @@
 import pytest
 
 from bergamotthread.platform.store import StoreCallError
-from bergamotthread.process.relay.choice import Work
-from bergamotthread.request.relay.attempt import WHOLE_ANSWER_BYTES_MAX
+from bergamotthread.process.relay.choice import RelayPlacementRequest
+from bergamotthread.request.relay.attempt import BUFFERED_RESPONSE_BYTES_MAX
 from bergamotthread.request.relay.events import EVENT_BYTES_MAX
 from bergamotthread.testing.memory_http import run_in_memory
 from standins.platform_runner import (
@@ -75,11 +75,14 @@
 def test_answer_that_is_too_long_to_buffer_is_not_forwarded():
     async def check():
         deployment = await Deployment.start(plains=1)
-        deployment.plains[0].script.answer = b'x' * WHOLE_ANSWER_BYTES_MAX
+        deployment.plains[0].script.answer = b'x' * BUFFERED_RESPONSE_BYTES_MAX
         whole = await deployment.call('/once/x')
-        assert (whole.status, len(whole.body)) == (200, WHOLE_ANSWER_BYTES_MAX)
+        assert (whole.status, len(whole.body)) == (
+            200,
+            BUFFERED_RESPONSE_BYTES_MAX,
+        )
         runner = deployment.plains[0]
-        runner.script.answer = b'x' * 2 * WHOLE_ANSWER_BYTES_MAX
+        runner.script.answer = b'x' * 2 * BUFFERED_RESPONSE_BYTES_MAX
         assert (await deployment.call('/once/x')).status == 502
 
     run_in_memory(check())
@@ -418,12 +421,12 @@
         choice = deployment.entries[0]._parts.choice
         for number in range(6):
             part = f'bb{number}'
-            work = Work(
+            work = RelayPlacementRequest(
                 'model-service',
                 prompt_tokens=8000,
                 affinity=part.encode(),
             )
-            last = choice.draw(work)[-1].record.instance
+            last = choice.draw_candidates(work)[-1].record.instance
             reader = next(
                 model for model in deployment.models if model.instance == last
             )
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -12,15 +12,18 @@
 from hypothesis import strategies as st
 
 from bergamotthread.clock import Clock
-from bergamotthread.process.relay.choice import UpstreamChoice, Work
+from bergamotthread.process.relay.choice import (
+    RelayPlacementRequest,
+    UpstreamChoice,
+)
 from bergamotthread.process.relay.decision_log import (
     BUFFERED_LINES_MAX,
-    LINES_PER_S,
+    LINES_PER_S_MAX,
     DecisionLog,
 )
 from bergamotthread.process.relay.feed_sources import (
-    FAILED_MS,
-    STORE_FAILED_MS,
+    ENTRY_BACKOFF_MS,
+    STORE_BACKOFF_MS,
     EntryRecord,
     FeedSources,
 )
@@ -28,11 +31,11 @@
 from bergamotthread.process.relay.hash_ring import HashRing
 from bergamotthread.process.relay.life_cycle import LifeCycle
 from bergamotthread.process.relay.repeat_budget import (
-    RepeatBudget,
-    RepeatLimits,
+    ServiceRetryBudget,
+    ServiceRetryLimits,
 )
 from bergamotthread.process.relay.upstreams import (
-    LOST_MS,
+    LOST_RETRY_MS,
     LoadReport,
     Upstream,
     UpstreamDirectory,
@@ -117,7 +120,7 @@
     directory.record_heard(upstream)
     assert not directory.is_lost(upstream)
     directory.record_lost(upstream)
-    manual_clock.now_ms += LOST_MS
+    manual_clock.now_ms += LOST_RETRY_MS
     assert not directory.is_lost(upstream)
 
 
@@ -126,13 +129,13 @@
     directory = _directory(manual_clock, count=8)
     manual_clock.now_ms += 1000
     directory.record_lost(directory.get('u0'))
-    assert not directory.is_doubtful(directory.get('u4'))
+    assert not directory.is_suspected(directory.get('u4'))
     directory.record_lost(directory.get('u2'))
-    assert directory.is_doubtful(directory.get('u4'))
-    assert not directory.is_doubtful(directory.get('u1'))
+    assert directory.is_suspected(directory.get('u4'))
+    assert not directory.is_suspected(directory.get('u1'))
     manual_clock.now_ms += 10
     directory.record_heard(directory.get('u4'))
-    assert not directory.is_doubtful(directory.get('u4'))
+    assert not directory.is_suspected(directory.get('u4'))
 
 
 def test_suspected_domain_gets_no_requests_while_others_are_healthy():
@@ -143,11 +146,11 @@
     for instance in ('u0', 'u2'):
         directory.record_lost(directory.get(instance))
     choice = _choice(directory)
-    work = Work('s', prompt_tokens=8000)
+    work = RelayPlacementRequest('s', prompt_tokens=8000)
     domains = {
         upstream.record.failure_domain
         for _ in range(50)
-        for upstream in choice.draw(work)
+        for upstream in choice.draw_candidates(work)
     }
     assert domains == {'b-1'}
 
@@ -158,7 +161,9 @@
     manual_clock.now_ms += 1000
     for instance in ('u0', 'u1'):
         directory.record_lost(directory.get(instance))
-    chosen = _choice(directory).choose(Work('s', prompt_tokens=1))
+    chosen = _choice(directory).choose(
+        RelayPlacementRequest('s', prompt_tokens=1)
+    )
     assert chosen.record.instance in {'u2', 'u3'}
 
 
@@ -170,7 +175,9 @@
     )
     choice = _choice(directory)
     for _ in range(50):
-        drawn = choice.draw(Work('s', prompt_tokens=1))
+        drawn = choice.draw_candidates(
+            RelayPlacementRequest('s', prompt_tokens=1)
+        )
         assert len({upstream.record.failure_domain for upstream in drawn}) == 2
 
 
@@ -216,13 +223,13 @@
 
 
 def test_two_entries_draw_the_same_candidates_for_a_prompt():
-    work = Work('s', prompt_tokens=8000, affinity=b'part')
+    work = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'part')
     drawn = [
         [
             upstream.record.instance
-            for upstream in _choice(_directory(ManualClock(), count=20)).draw(
-                work
-            )
+            for upstream in _choice(
+                _directory(ManualClock(), count=20)
+            ).draw_candidates(work)
         ]
         for _ in range(2)
     ]
@@ -234,7 +241,9 @@
     """Different prompts of one region must not go to a few upstreams only."""
     choice = _choice(_directory(ManualClock(), count=18, domains=('a-1',)))
     firsts = [
-        choice.draw(Work('s', prompt_tokens=1, affinity=b'%d' % number))[0]
+        choice.draw_candidates(
+            RelayPlacementRequest('s', prompt_tokens=1, affinity=b'%d' % number)
+        )[0]
         for number in range(400)
     ]
     firsts = [upstream.record.instance for upstream in firsts]
@@ -246,8 +255,8 @@
 def test_prompts_stay_in_the_region_until_its_upstreams_are_busy():
     directory = _directory(ManualClock(), count=18)
     choice = _choice(directory)
-    work = Work('s', prompt_tokens=8000, affinity=b'part')
-    drawn = choice.draw(work)
+    work = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'part')
+    drawn = choice.draw_candidates(work)
     domains = [upstream.record.failure_domain for upstream in drawn]
     assert domains == ['a-1', 'a-1', 'a-1', 'b-1']
     assert choice.cost_ms(drawn[0], work) < choice.cost_ms(drawn[3], work)
@@ -263,7 +272,9 @@
         _directory(ManualClock(), count=9, domains=('a-1', 'b-1', 'c-1'))
     )
     firsts = [
-        choice.draw(Work('s', prompt_tokens=1, affinity=b'%d' % number))[0]
+        choice.draw_candidates(
+            RelayPlacementRequest('s', prompt_tokens=1, affinity=b'%d' % number)
+        )[0]
         for number in range(200)
     ]
     local = [
@@ -276,13 +287,18 @@
 
 def test_reconnect_has_the_same_candidates_in_every_region():
     """The caller may reconnect through another region than before."""
-    work = Work('s', prompt_tokens=8000, affinity=b'part', is_return=True)
+    work = RelayPlacementRequest(
+        's', prompt_tokens=8000, affinity=b'part', is_reconnect=True
+    )
     drawn = []
     for domain in ('a-1', 'b-1'):
         choice = _choice(_directory(ManualClock(), count=18))
         choice.own_domain = domain
         drawn.append(
-            [upstream.record.instance for upstream in choice.draw(work)],
+            [
+                upstream.record.instance
+                for upstream in choice.draw_candidates(work)
+            ],
         )
     assert drawn[0] == drawn[1]
     assert len(drawn[0]) == 6
@@ -292,10 +308,10 @@
     """Requests that all have one affinity key must spread over upstreams."""
     directory = _directory(ManualClock(), count=18)
     choice = _choice(directory)
-    work = Work('s', prompt_tokens=8000, affinity=b'hot')
+    work = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'hot')
     taken = []
     for _ in range(12):
-        drawn = choice.draw(work)
+        drawn = choice.draw_candidates(work)
         ranks = {
             upstream.record.instance: rank
             for rank, upstream in enumerate(drawn)
@@ -304,7 +320,7 @@
             drawn,
             key=lambda upstream: (
                 choice.cost_ms(upstream, work)
-                + choice.rank_ms(ranks[upstream.record.instance], work)
+                + choice.rank_cost_ms(ranks[upstream.record.instance], work)
             ),
         )
         chosen.prefill_tokens += 8000
@@ -318,7 +334,7 @@
     directory = UpstreamDirectory(ManualClock().clock())
     directory.update(_record('d', state=UpstreamState.DRAINING, address='a:1'))
     directory.update(_record('o', service='other', address='a:2'))
-    assert _choice(directory).choose(Work('s')) is None
+    assert _choice(directory).choose(RelayPlacementRequest('s')) is None
 
 
 def _report(unread: int, at_ms: float = 0) -> LoadReport:
@@ -331,7 +347,9 @@
     directory = _directory(manual_clock, count=4, domains=('a-1',))
     for number, unread in enumerate((16_000, 8000, 0, 24_000)):
         directory.get(f'u{number}').report = _report(unread)
-    chosen = _choice(directory).choose(Work('s', prompt_tokens=8000))
+    chosen = _choice(directory).choose(
+        RelayPlacementRequest('s', prompt_tokens=8000)
+    )
     assert chosen.record.instance == 'u2'
 
 
@@ -342,7 +360,7 @@
     """
     directory = _directory(ManualClock(), count=4, domains=('a-1',))
     choice = _choice(directory)
-    work = Work('s', prompt_tokens=8000)
+    work = RelayPlacementRequest('s', prompt_tokens=8000)
     for number in range(4):
         directory.get(f'u{number}').report = _report(0)
     taken = []
@@ -363,24 +381,34 @@
     for _ in range(4):
         directory.record_outcome(failing, failed=True)
     choice = _choice(directory)
-    chosen = {choice.choose(Work('s')).record.instance for _ in range(20)}
+    chosen = {
+        choice.choose(RelayPlacementRequest('s')).record.instance
+        for _ in range(20)
+    }
     assert chosen == {'u1'}
     manual_clock.now_ms += 60_000
-    chosen = {choice.choose(Work('s')).record.instance for _ in range(20)}
+    chosen = {
+        choice.choose(RelayPlacementRequest('s')).record.instance
+        for _ in range(20)
+    }
     assert chosen == {'u0', 'u1'}
 
 
 def test_plain_requests_stay_in_the_region_until_it_is_busy():
     directory = _directory(ManualClock(), count=2)
     choice = _choice(directory)
-    assert choice.choose(Work('s')).record.failure_domain == 'a-1'
+    assert (
+        choice.choose(RelayPlacementRequest('s')).record.failure_domain == 'a-1'
+    )
     directory.get('u0').in_flight = 6
-    assert choice.choose(Work('s')).record.failure_domain == 'b-1'
+    assert (
+        choice.choose(RelayPlacementRequest('s')).record.failure_domain == 'b-1'
+    )
 
 
 def _budget(manual_clock, entries):
-    limits = RepeatLimits(ratio=0.5, window_ms=10_000, slack=12)
-    return RepeatBudget(manual_clock.clock(), limits, lambda: entries)
+    limits = ServiceRetryLimits(ratio=0.5, window_ms=10_000, slack=12)
+    return ServiceRetryBudget(manual_clock.clock(), limits, lambda: entries)
 
 
 @given(
@@ -432,19 +460,19 @@
     """Keys revoked during a suspend must not be accepted after it."""
     manual_clock = ManualClock()
     freshness = VersionFreshness(manual_clock.clock(), 5000)
-    assert not freshness.admits_keys
+    assert not freshness.may_accept_keys
     freshness.confirm(freshness.now_ms())
-    assert freshness.admits_keys
+    assert freshness.may_accept_keys
     manual_clock.now_ms += 4000
-    assert freshness.admits_keys
+    assert freshness.may_accept_keys
     assert not freshness.is_ready
     manual_clock.suspended_ms += 1000
-    assert not freshness.admits_keys
+    assert not freshness.may_accept_keys
 
 
 def test_keys_are_always_trusted_without_a_revoke_bound():
     freshness = VersionFreshness(ManualClock().clock(), None)
-    assert freshness.admits_keys
+    assert freshness.may_accept_keys
     assert freshness.is_ready
 
 
@@ -477,7 +505,7 @@
     assert sources.choose('t').host == 'e2'
     sources.record_failure('t', sources.choose('t'))
     assert sources.choose('t') is None
-    manual_clock.now_ms += FAILED_MS
+    manual_clock.now_ms += ENTRY_BACKOFF_MS
     assert sources.choose('t').host == 'e1'
 
 
@@ -487,7 +515,7 @@
     sources.record_failure('t', None)
     assert sources.choose('t').host == 'e2'
     assert sources.choose('other') is None
-    manual_clock.now_ms += STORE_FAILED_MS
+    manual_clock.now_ms += STORE_BACKOFF_MS
     assert sources.choose('t') is None
 
 
@@ -495,14 +523,14 @@
     manual_clock = ManualClock()
     cycle = LifeCycle(manual_clock.clock(), 8000)
     assert not cycle.is_ready
-    cycle.version_known()
+    cycle.mark_ready()
     assert cycle.is_ready
     cycle.stop()
     assert not cycle.is_ready
     assert not cycle.refuses_streams
     manual_clock.now_ms += 2000
     cycle.stop()
-    cycle.version_known()
+    cycle.mark_ready()
     assert cycle.refuses_streams
     assert not cycle.is_ready
     manual_clock.now_ms += 1000
@@ -545,7 +573,7 @@
     os.set_blocking(writer, False)
     os.set_blocking(reader, False)
     log = DecisionLog(manual_clock.clock(), 'h', descriptor=writer)
-    for _ in range(LINES_PER_S + 5):
+    for _ in range(LINES_PER_S_MAX + 5):
         log.write('event', request='r' * 400, age_ms=float('inf'))
     manual_clock.now_ms += 1000
     log.write('later')
@@ -603,10 +631,10 @@
         strict=True,
     ):
         _reported(manual_clock, upstream, kv_used)
-    assert choice.holder_among(upstreams) is upstreams[1]
+    assert choice.copy_holder_among(upstreams) is upstreams[1]
     upstreams[1].held_tokens = 50_000
-    assert choice.holder_among(upstreams) is upstreams[0]
-    assert choice.holder_among([]) is None
+    assert choice.copy_holder_among(upstreams) is upstreams[0]
+    assert choice.copy_holder_among([]) is None
 
 
 def test_queue_of_a_copy_holder_does_not_matter():
@@ -619,4 +647,4 @@
     _reported(manual_clock, full, 80_000)
     busy.prefill_tokens = 40_000
     busy.in_flight = 9
-    assert choice.holder_among([busy, full]) is busy
+    assert choice.copy_holder_among([busy, full]) is busy
