--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -76,7 +76,7 @@
             silence_ms += source.uniform(PAUSE_MIN_MS, signal.pause_max_ms)
             pause_ms = now_ms + source.expovariate(1 / PAUSE_INTERVAL_MS)
         now_ms += silence_ms
-        suspicions += detector.is_suspect(now_ms)
+        suspicions += detector.is_suspected(now_ms)
         thresholds += detector.threshold_ms()
         samples += 1
         detector.record(now_ms)
--- a/bergamotthread/connection/body_limit.py
+++ b/bergamotthread/connection/body_limit.py
@@ -85,7 +85,7 @@
             ):
                 await self._read_parts(body)
         except TimeoutError as error:
-            raise RefusedError(self._refusal_of_late_body()) from error
+            raise RefusedError(self._late_body_refusal()) from error
 
     async def _read_parts(self, body: _Body) -> None:
         has_more = True
@@ -131,7 +131,7 @@
                 ),
             )
 
-    def _refusal_of_late_body(self) -> Refusal:
+    def _late_body_refusal(self) -> Refusal:
         limit_ms = self.limits.body_timeout_ms
         return Refusal(
             reason=ReasonCode.DEADLINE,
@@ -149,13 +149,13 @@
     def __init__(self, receive: Receive) -> None:
         self.receive = receive
         self.received = bytearray()
-        self._is_taken = False
+        self._is_replayed = False
 
     async def replay(self) -> Message:
         """Return the whole body as one message, then later messages."""
-        if self._is_taken:
+        if self._is_replayed:
             return await self.receive()
-        self._is_taken = True
+        self._is_replayed = True
         return {
             'type': 'http.request',
             'body': bytes(self.received),
--- a/bergamotthread/connection/curve.py
+++ b/bergamotthread/connection/curve.py
@@ -17,7 +17,7 @@
 from bergamotthread.process.settings import KeySettings
 
 LOG_INTERVAL_MS = 60_000
-MAX_REMEMBERED_KEYS = 256
+MAX_REMEMBERED_REASONS = 256
 
 _MIN_ZAP_FRAMES = 6
 _ZAP_ADDRESS_FRAME = 3
@@ -41,7 +41,7 @@
     clock: Clock
     refused: int = 0
     peer_ip: str = ''
-    logged_ms_by_key: dict[str, float] = field(default_factory=dict)
+    logged_ms_by_reason: dict[str, float] = field(default_factory=dict)
 
     @classmethod
     def from_settings(cls, keys: KeySettings, clock: Clock) -> CurveGate:
@@ -61,12 +61,12 @@
         """Count a refused peer; log each reason once per interval."""
         self.refused += 1
         now_ms = self.clock.now_ms()
-        logged_ms = self.logged_ms_by_key.get(reason)
+        logged_ms = self.logged_ms_by_reason.get(reason)
         if logged_ms is not None and now_ms - logged_ms < LOG_INTERVAL_MS:
             return
-        if len(self.logged_ms_by_key) >= MAX_REMEMBERED_KEYS:
-            self.logged_ms_by_key.clear()
-        self.logged_ms_by_key[reason] = now_ms
+        if len(self.logged_ms_by_reason) >= MAX_REMEMBERED_REASONS:
+            self.logged_ms_by_reason.clear()
+        self.logged_ms_by_reason[reason] = now_ms
         logging.warning(
             'refused a connection: %s',
             reason,
--- a/bergamotthread/connection/detector.py
+++ b/bergamotthread/connection/detector.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-_GAIN = 0.125
+_MEAN_GAIN = 0.125
 _DEVIATION_GAIN = 0.25
 
 
@@ -67,7 +67,7 @@
             self._deviation_ms = interval_ms / 2
             return
         error_ms = interval_ms - self._mean_ms
-        self._mean_ms += _GAIN * error_ms
+        self._mean_ms += _MEAN_GAIN * error_ms
         spread_ms = abs(error_ms) - self._deviation_ms
         self._deviation_ms += _DEVIATION_GAIN * spread_ms
 
@@ -83,6 +83,6 @@
         learned_ms = self._mean_ms + limits.deviations * self._deviation_ms
         return min(max(learned_ms, limits.floor_ms), limits.ceiling_ms)
 
-    def is_suspect(self, now_ms: float) -> bool:
+    def is_suspected(self, now_ms: float) -> bool:
         """Return whether the silence exceeds the threshold."""
         return now_ms - self._heard_ms > self.threshold_ms()
--- a/bergamotthread/connection/event_stream.py
+++ b/bergamotthread/connection/event_stream.py
@@ -47,7 +47,7 @@
         try:
             await first_completed(
                 self._send_all(send),
-                until_disconnected(receive),
+                wait_for_disconnect(receive),
             )
         finally:
             self._on_close()
@@ -89,7 +89,7 @@
         task.result()
 
 
-async def until_disconnected(receive: Receive) -> None:
+async def wait_for_disconnect(receive: Receive) -> None:
     """Wait until the caller has closed the connection."""
     while True:
         message = await receive()
--- a/bergamotthread/connection/handshake.py
+++ b/bergamotthread/connection/handshake.py
@@ -39,8 +39,8 @@
         self._on_outcome = on_outcome
         self._monitor: _Socket = socket.get_monitor_socket(events)
         self._loop = asyncio.get_running_loop()
-        self._loop.add_reader(self._monitor.fileno(), self._drain)
-        self._loop.call_soon(self._drain)
+        self._loop.add_reader(self._monitor.fileno(), self._report_events)
+        self._loop.call_soon(self._report_events)
 
     @classmethod
     def for_client(
@@ -71,7 +71,7 @@
             self._socket.disable_monitor()
             self._monitor.close(linger=0)
 
-    def _drain(self) -> None:
+    def _report_events(self) -> None:
         while not self._monitor.closed:
             try:
                 parts = self._monitor.recv_multipart(zmq.NOBLOCK)
--- a/bergamotthread/connection/http/caller_connection.py
+++ b/bergamotthread/connection/http/caller_connection.py
@@ -124,9 +124,9 @@
         self.is_ended = True
         self._connection.abort()
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait while the write buffer for a slow caller is full."""
-        await self._connection.writable()
+        await self._connection.wait_writable()
 
 
 class CallerConnection(asyncio.Protocol):
@@ -142,8 +142,8 @@
         self._queue: deque[CallerRequest] = deque()
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._writable: asyncio.Future[None] | None = None
-        self._closes_after = False
+        self._writable_waiter: asyncio.Future[None] | None = None
+        self._closes_after_answer = False
         self._bad_status = 0
         self._answered = 0
         self._reset_message()
@@ -155,21 +155,21 @@
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
-        self._wait(self._limits.idle_timeout_ms)
+        self._start_timer(self._limits.idle_timeout_ms)
 
     def data_received(self, received: bytes) -> None:
         """Parse received bytes."""
         if self._bad_status:
             return
         if not self._in_message and self._task is None:
-            self._wait(self._limits.header_timeout_ms)
+            self._start_timer(self._limits.header_timeout_ms)
         try:
             self._parser.feed_data(received)
         except httptools.HttpParserUpgrade:
-            self._reject(400)
+            self._set_bad_status(400)
         except httptools.HttpParserError as error:
             logging.debug('invalid request refused: %s', error)
-            self._reject(self._bad_status or 400)
+            self._set_bad_status(self._bad_status or 400)
         if self._bad_status:
             self._start_next()
         if len(self._queue) >= QUEUED_REQUESTS_MAX and self._transport:
@@ -190,13 +190,13 @@
 
     def pause_writing(self) -> None:
         """Make `writable` wait until the write buffer has drained."""
-        if self._writable is None:
-            self._writable = self._loop.create_future()
+        if self._writable_waiter is None:
+            self._writable_waiter = self._loop.create_future()
 
     def resume_writing(self) -> None:
         """Wake whoever waits in `writable`."""
-        waiter = self._writable
-        self._writable = None
+        waiter = self._writable_waiter
+        self._writable_waiter = None
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
@@ -223,10 +223,10 @@
         expectation = headers.get(b'expect', b'').lower()
         hosts = [name for name, _ in self._headers if name == b'host']
         if len(hosts) > 1:
-            self._fail(400)
+            self._stop_parser(400)
         length = headers.get(b'content-length', b'0')
         if length.isdigit() and int(length) > self._limits.body_bytes:
-            self._fail(413)
+            self._stop_parser(413)
         if expectation == b'100-continue' and self._transport:
             self._transport.write(b'HTTP/1.1 100 Continue\r\n\r\n')
 
@@ -235,7 +235,7 @@
         self._body.append(payload)
         self._body_bytes += len(payload)
         if self._body_bytes > self._limits.body_bytes:
-            self._fail(413)
+            self._stop_parser(413)
 
     def on_message_complete(self) -> None:
         """Queue the complete request."""
@@ -262,8 +262,8 @@
     def connection_headers(self) -> list[Header]:
         """Return the header fields of an answer about the connection."""
         if self._server.is_draining:
-            self._closes_after = True
-        if self._closes_after:
+            self._closes_after_answer = True
+        if self._closes_after_answer:
             return [(b'connection', b'close')]
         return []
 
@@ -272,10 +272,10 @@
         if self._transport is not None and not self.is_closed:
             self._transport.write(payload)
 
-    async def writable(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until the write buffer has room."""
-        if self._writable is not None:
-            await asyncio.shield(self._writable)
+        if self._writable_waiter is not None:
+            await asyncio.shield(self._writable_waiter)
 
     def abort(self) -> None:
         """Close without sending buffered bytes."""
@@ -300,14 +300,14 @@
     def _count_header_bytes(self, count: int) -> None:
         self._header_bytes += count
         if self._header_bytes > self._limits.header_bytes:
-            self._fail(431)
+            self._stop_parser(431)
 
-    def _fail(self, status: int) -> None:
+    def _stop_parser(self, status: int) -> None:
         """Stop the parser; the status is sent after earlier answers."""
         self._bad_status = self._bad_status or status
         raise ValueError(f'request refused with {status}')
 
-    def _reject(self, status: int) -> None:
+    def _set_bad_status(self, status: int) -> None:
         self._bad_status = self._bad_status or status
 
     def _start_next(self) -> None:
@@ -316,7 +316,7 @@
         if self._queue:
             self._cancel_timer()
             request = self._queue.popleft()
-            self._closes_after = not request.keep_alive
+            self._closes_after_answer = not request.keep_alive
             self._limits = self._server.limits
             self._task = self._loop.create_task(self._answer(request))
             return
@@ -334,18 +334,18 @@
             logging.exception('answering a request failed')
         finally:
             self._task = None
-            self._after(exchange)
+            self._after_answer(exchange)
 
-    def _after(self, exchange: Exchange) -> None:
+    def _after_answer(self, exchange: Exchange) -> None:
         if self.is_closed or self._transport is None:
             return
         if not exchange.is_ended:
             self._transport.abort()
             return
-        if self._closes_after:
+        if self._closes_after_answer:
             self._transport.close()
             return
-        self._wait(self._server.limits.idle_timeout_ms)
+        self._start_timer(self._server.limits.idle_timeout_ms)
         self._transport.resume_reading()
         self._start_next()
 
@@ -358,7 +358,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def _wait(self, timeout_ms: float) -> None:
+    def _start_timer(self, timeout_ms: float) -> None:
         self._cancel_timer()
         self._timer = self._loop.call_later(
             timeout_ms / _MS_PER_S,
@@ -375,7 +375,7 @@
         if self._transport is None or self._task is not None:
             return
         if self._in_message:
-            self._reject(408)
+            self._set_bad_status(408)
             self._start_next()
             return
         self._transport.close()
--- a/bergamotthread/connection/http/fetch.py
+++ b/bergamotthread/connection/http/fetch.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class FetchRequest:
     """Request of a short call."""
 
     method: bytes
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchResponse:
     """Status and body of the answer to a short call."""
 
     status: int
@@ -40,9 +40,9 @@
 async def fetch(
     pool: UpstreamPool,
     address: str,
-    asked: Asked,
+    request: FetchRequest,
     timeout_ms: float,
-) -> Fetched:
+) -> FetchResponse:
     """Send a request and return the answer.
 
     Parameters
@@ -59,10 +59,10 @@
     host = (b'host', address.encode())
     try:
         encoded = encode_request(
-            asked.method,
-            asked.target,
-            (host, *asked.headers),
-            asked.body,
+            request.method,
+            request.target,
+            (host, *request.headers),
+            request.body,
         )
         connection.send(encoded, b'')
         return await _read(connection, timeout_ms)
@@ -73,7 +73,7 @@
 async def _read(
     connection: UpstreamConnection,
     timeout_ms: float,
-) -> Fetched:
+) -> FetchResponse:
     status = 0
     body: list[bytes] = []
     arrived: AnswerItem | None = None
@@ -88,4 +88,4 @@
                 raise ConnectionError(
                     f'no complete answer from {connection.address}: {arrived}',
                 )
-    return Fetched(status, b''.join(body))
+    return FetchResponse(status, b''.join(body))
--- a/bergamotthread/connection/http/upstream_connection.py
+++ b/bergamotthread/connection/http/upstream_connection.py
@@ -61,27 +61,27 @@
         """Parse a part of an answer."""
         self.last_heard_ms = self._clock.now_ms()
         if not self._is_waiting:
-            self._spoil()
+            self._make_unusable()
             return
         try:
             self._parser.feed_data(received)
         except httptools.HttpParserUpgrade:
-            self._lose('the upstream switched to another protocol')
+            self._report_lost('the upstream switched to another protocol')
         except httptools.HttpParserError as error:
-            self._lose(f'invalid HTTP response: {error}')
+            self._report_lost(f'invalid HTTP response: {error}')
 
     def eof_received(self) -> bool:
         """Complete an answer whose end is marked by the close."""
         ends_here = self._has_head and self._framing is Framing.CLOSE
         if self._is_waiting and ends_here and not self._is_skipping:
-            self._finish()
+            self._complete_answer()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the loss of an incomplete answer to its reader."""
         self.is_open = False
         if self._is_waiting:
-            self._lose(f'connection closed: {exc or "by the upstream"}')
+            self._report_lost(f'connection closed: {exc or "by the upstream"}')
 
     # callbacks of the parser
 
@@ -89,7 +89,7 @@
         """Start an answer; without a request, make the connection unusable."""
         self._headers: list[Header] = []
         if not self._is_waiting:
-            self._is_spoiled = True
+            self._is_unusable = True
 
     def on_header(self, name: bytes, payload: bytes) -> None:
         """Append one header field."""
@@ -106,11 +106,13 @@
         self._framing = _framing(headers)
         if self._is_skipping:
             if self._framing is Framing.CLOSE:
-                self._lose('answer to another request, ended by a close')
+                self._report_lost('answer to another request, ended by a close')
             return
-        self._note_keep_alive(headers)
+        self._read_keep_alive(headers)
         self._has_head = True
-        self._put(AnswerHead(status, tuple(self._headers), self._framing))
+        self._queue_item(
+            AnswerHead(status, tuple(self._headers), self._framing)
+        )
 
     def on_body(self, payload: bytes) -> None:
         """Queue a part of the body."""
@@ -119,7 +121,7 @@
         self._buffered += len(payload)
         if self._buffered > BUFFERED_BYTES_MAX and self._transport:
             self._transport.pause_reading()
-        self._put(AnswerPart(payload))
+        self._queue_item(AnswerPart(payload))
 
     def on_message_complete(self) -> None:
         """Queue the end of the answer."""
@@ -127,7 +129,7 @@
             self._is_skipping = False
             return
         if self._is_waiting and self._has_head:
-            self._finish()
+            self._complete_answer()
 
     # for attempts
 
@@ -148,11 +150,11 @@
 
     async def receive(self, timeout_ms: float) -> AnswerItem | None:
         """Return the next item of the answer, or None after `timeout_ms`."""
-        if not self._arrived:
+        if not self._pending_items:
             await self._wait(timeout_ms)
-        if not self._arrived:
+        if not self._pending_items:
             return None
-        return self._take()
+        return self._next_item()
 
     @property
     def is_reusable(self) -> bool:
@@ -160,8 +162,8 @@
         return (
             self.is_open
             and not self._is_waiting
-            and not self._is_spoiled
-            and not self._says_close
+            and not self._is_unusable
+            and not self._will_close
         )
 
     @property
@@ -181,16 +183,16 @@
 
     def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._arrived: deque[AnswerItem] = deque()
+        self._pending_items: deque[AnswerItem] = deque()
         self._headers = []
         self._request_id = b''
         self._framing = Framing.LENGTH
         self._buffered = 0
         self._is_waiting = False
         self._is_skipping = False
-        self._is_spoiled = False
+        self._is_unusable = False
         self._has_head = False
-        self._says_close = False
+        self._will_close = False
 
     async def _wait(self, timeout_ms: float) -> None:
         loop = asyncio.get_running_loop()
@@ -202,8 +204,8 @@
             timer.cancel()
             self._waiter = None
 
-    def _take(self) -> AnswerItem:
-        arrived = self._arrived.popleft()
+    def _next_item(self) -> AnswerItem:
+        arrived = self._pending_items.popleft()
         if isinstance(arrived, AnswerPart):
             was_full = self._buffered > BUFFERED_BYTES_MAX
             self._buffered -= len(arrived.payload)
@@ -215,33 +217,33 @@
         if self.is_open and self._transport is not None:
             self._transport.resume_reading()
 
-    def _put(self, arrived: AnswerItem) -> None:
-        self._arrived.append(arrived)
+    def _queue_item(self, arrived: AnswerItem) -> None:
+        self._pending_items.append(arrived)
         self._wake()
 
     def _wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _finish(self) -> None:
+    def _complete_answer(self) -> None:
         self._is_waiting = False
-        self._says_close = (
+        self._will_close = (
             self._framing is Framing.CLOSE
             or not self._parser.should_keep_alive()
         )
-        self._put(AnswerEnd())
+        self._queue_item(AnswerEnd())
 
-    def _lose(self, reason: str) -> None:
+    def _report_lost(self, reason: str) -> None:
         self._is_waiting = False
-        self._spoil()
-        self._put(AnswerLost(reason))
+        self._make_unusable()
+        self._queue_item(AnswerLost(reason))
 
-    def _spoil(self) -> None:
-        self._is_spoiled = True
+    def _make_unusable(self) -> None:
+        self._is_unusable = True
         if self._transport is not None:
             self._transport.abort()
 
-    def _note_keep_alive(self, headers: dict[bytes, bytes]) -> None:
+    def _read_keep_alive(self, headers: dict[bytes, bytes]) -> None:
         for part in headers.get(b'keep-alive', b'').split(b','):
             name, _, seconds = part.strip().lower().partition(b'=')
             if name == b'timeout' and seconds.isdigit():
--- a/bergamotthread/connection/http/upstream_pool.py
+++ b/bergamotthread/connection/http/upstream_pool.py
@@ -20,7 +20,7 @@
 IDLE_MARGIN_MS = 700
 # Maximum idle time of a connection, also if the upstream announces more.
 IDLE_MAX_MS = 4000
-KEPT_PER_ADDRESS_MAX = 32
+IDLE_PER_ADDRESS_MAX = 32
 # The kernel closes a connection whose bytes are not acknowledged in this time
 # (Linux).
 TCP_USER_TIMEOUT_MS = 5000
@@ -82,10 +82,10 @@
             return
         idle = self._idle_by_address.setdefault(connection.address, deque())
         idle.append(connection)
-        if len(idle) > KEPT_PER_ADDRESS_MAX:
+        if len(idle) > IDLE_PER_ADDRESS_MAX:
             idle.popleft().close()
 
-    def forget(self, address: str) -> None:
+    def close_address(self, address: str) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
@@ -93,7 +93,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in tuple(self._idle_by_address):
-            self.forget(address)
+            self.close_address(address)
 
     def close_stale(self) -> None:
         """Close connections that have been idle for too long."""
--- a/bergamotthread/connection/http_engine.py
+++ b/bergamotthread/connection/http_engine.py
@@ -19,7 +19,7 @@
     EngineRefusedError,
     GenerateRequest,
 )
-from bergamotthread.connection.http_service import UNREACHED_ERRORS
+from bergamotthread.connection.http_service import CONNECT_ERRORS
 from bergamotthread.errors import Step
 from bergamotthread.wire.messages import LoadReport, Pin
 
@@ -30,7 +30,12 @@
 
 _EVENT_PREFIX = b'data: '
 _EVENT_END = b'\n\n'
-_LOST = (AiosonicError, OSError, ValueError, asyncio.IncompleteReadError)
+_CONNECTION_ERRORS = (
+    AiosonicError,
+    OSError,
+    ValueError,
+    asyncio.IncompleteReadError,
+)
 
 
 class OrderRequest(msgspec.Struct, frozen=True):
@@ -72,8 +77,8 @@
             response = await self._client.get(f'http://{self._address}/load')
             body = await response.content()
             return msgspec.json.decode(body, type=LoadReport)
-        except _LOST as error:
-            raise self._lost(error) from error
+        except _CONNECTION_ERRORS as error:
+            raise self._lost_error(error) from error
 
     async def order(self, action: str, pin: Pin, fence: int) -> bool:
         """Send an order; an engine that refuses it answers 409."""
@@ -83,8 +88,8 @@
                 f'http://{self._address}/orders',
                 data=order,
             )
-        except _LOST as error:
-            raise self._lost(error) from error
+        except _CONNECTION_ERRORS as error:
+            raise self._lost_error(error) from error
         return bool(response.status_code == HTTPStatus.OK)
 
     async def _stream(
@@ -92,21 +97,21 @@
         client: HTTPClient,
         request: GenerateRequest,
     ) -> AsyncIterator[EngineOutput]:
-        response = await self._open(client, request)
+        response = await self._open_stream(client, request)
         finished = False
         try:
-            async for event in self._events(response):
+            async for event in self._read_events(response):
                 output = self._decode(event)
                 finished = bool(output.finish)
                 yield output
-        except _LOST as error:
-            raise self._lost(error) from error
+        except _CONNECTION_ERRORS as error:
+            raise self._lost_error(error) from error
         finally:
             await response.aclose()
         if not finished:
-            raise self._lost('stream ended before the last output')
+            raise self._lost_error('stream ended before the last output')
 
-    async def _open(
+    async def _open_stream(
         self,
         client: HTTPClient,
         request: GenerateRequest,
@@ -118,14 +123,14 @@
                 data=msgspec.json.encode(request),
                 stream=True,
             )
-        except UNREACHED_ERRORS as error:
+        except CONNECT_ERRORS as error:
             raise EngineRefusedError(
                 f'cannot connect to engine: {error!r}',
                 step=Step.DISPATCH,
                 peer=self._address,
             ) from error
-        except _LOST as error:
-            raise self._lost(error) from error
+        except _CONNECTION_ERRORS as error:
+            raise self._lost_error(error) from error
         if response.status_code != HTTPStatus.OK:
             await response.aclose()
             raise EngineRefusedError(
@@ -135,7 +140,9 @@
             )
         return response
 
-    async def _events(self, response: HttpResponse) -> AsyncIterator[bytes]:
+    async def _read_events(
+        self, response: HttpResponse
+    ) -> AsyncIterator[bytes]:
         pending = b''
         async for chunk in response.read_chunks():
             pending += chunk
@@ -144,7 +151,7 @@
                 if event.startswith(_EVENT_PREFIX):
                     yield event[len(_EVENT_PREFIX) :]
 
-    def _lost(self, cause: object) -> EngineLostError:
+    def _lost_error(self, cause: object) -> EngineLostError:
         return EngineLostError(
             f'connection to engine lost: {cause!r}',
             step=Step.GENERATE,
--- a/bergamotthread/connection/http_limits.py
+++ b/bergamotthread/connection/http_limits.py
@@ -60,9 +60,9 @@
         super().__init__(config, **options)
         self._limits = config.limits
         self._clock = config.clock
-        self._reads_header = True
+        self._is_reading_header = True
         self._is_refused = False
-        self._raw_bytes = 0
+        self._received_bytes = 0
         self._header_bytes = 0
         self._discarded_bytes = 0
         self._timer: asyncio.Task[None] | None = None
@@ -84,11 +84,11 @@
         """Parse a chunk unless the request was refused."""
         if self._is_refused:
             return
-        self._raw_bytes += len(chunk)
+        self._received_bytes += len(chunk)
         super().data_received(chunk)
-        if not self._reads_header or self.transport.is_closing():
+        if not self._is_reading_header or self.transport.is_closing():
             return
-        if self._raw_bytes > self._limits.header_bytes:
+        if self._received_bytes > self._limits.header_bytes:
             self._refuse()
         else:
             self._start_timer(self._limits.header_timeout_ms)
@@ -96,24 +96,24 @@
     def on_message_begin(self) -> None:
         """Start counting the header bytes of a request."""
         super().on_message_begin()
-        self._reads_header = True
-        self._raw_bytes = 0
+        self._is_reading_header = True
+        self._received_bytes = 0
         self._header_bytes = 0
         self._discarded_bytes = 0
 
     def on_url(self, url: bytes) -> None:
         """Count and process a part of the URL."""
-        self._count(len(url))
+        self._count_header_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Count and process one header field."""
-        self._count(len(name) + len(text) + _HEADER_OVERHEAD_BYTES)
+        self._count_header_bytes(len(name) + len(text) + _HEADER_OVERHEAD_BYTES)
         super().on_header(name, text)
 
     def on_headers_complete(self) -> None:
         """Start the request unless its header is too large."""
-        self._reads_header = False
+        self._is_reading_header = False
         self._stop_timer()
         if not self._is_refused:
             super().on_headers_complete()
@@ -133,7 +133,7 @@
         if not self._is_refused:
             super().on_message_complete()
 
-    def _count(self, size: int) -> None:
+    def _count_header_bytes(self, size: int) -> None:
         self._header_bytes += size
         if self._header_bytes > self._limits.header_bytes:
             self._refuse()
@@ -164,13 +164,13 @@
 
     def _start_timer(self, limit_ms: float) -> None:
         if self._timer is None:
-            self._timer = self.loop.create_task(self._close_late(limit_ms))
+            self._timer = self.loop.create_task(self._close_after(limit_ms))
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    async def _close_late(self, limit_ms: float) -> None:
+    async def _close_after(self, limit_ms: float) -> None:
         await self._clock.sleep_ms(limit_ms)
         self.transport.close()
--- a/bergamotthread/connection/http_service.py
+++ b/bergamotthread/connection/http_service.py
@@ -16,16 +16,21 @@
     ServiceAnswer,
     ServiceClient,
     ServiceLostError,
-    ServiceNotReachedError,
     ServiceRequest,
+    ServiceUnreachableError,
 )
 from bergamotthread.errors import Step
 
 CONNECT_TIMEOUT_S = 1
 ANSWER_LIMIT_BYTES = 8_388_608
 _MS_PER_S = 1000
-_LOST = (AiosonicError, OSError, ValueError, asyncio.IncompleteReadError)
-UNREACHED_ERRORS = (ConnectionRefusedError, ConnectTimeout)
+_CONNECTION_ERRORS = (
+    AiosonicError,
+    OSError,
+    ValueError,
+    asyncio.IncompleteReadError,
+)
+CONNECT_ERRORS = (ConnectionRefusedError, ConnectTimeout)
 _HOP_HEADERS = frozenset(
     (
         'connection',
@@ -50,13 +55,13 @@
         """Send a call and return its answer."""
         try:
             return await self._call(request)
-        except UNREACHED_ERRORS as error:
-            raise ServiceNotReachedError(
+        except CONNECT_ERRORS as error:
+            raise ServiceUnreachableError(
                 f'cannot connect to service: {error!r}',
                 step=Step.DISPATCH,
                 peer=self._address,
             ) from error
-        except _LOST as error:
+        except _CONNECTION_ERRORS as error:
             raise ServiceLostError(
                 f'no complete answer from service: {error!r}',
                 step=Step.DISPATCH,
--- a/bergamotthread/connection/peer_histories.py
+++ b/bergamotthread/connection/peer_histories.py
@@ -33,9 +33,9 @@
         """Restart the silence of a peer now, keeping its history."""
         self._detector(address).restart(self._clock.now_ms())
 
-    def is_suspect(self, address: str) -> bool:
+    def is_suspected(self, address: str) -> bool:
         """Return whether a peer has been silent for too long."""
-        return self._detector(address).is_suspect(self._clock.now_ms())
+        return self._detector(address).is_suspected(self._clock.now_ms())
 
     def _detector(self, address: str) -> SilenceDetector:
         detector = self._detectors_by_address.get(address)
--- a/bergamotthread/connection/service_client.py
+++ b/bergamotthread/connection/service_client.py
@@ -34,7 +34,7 @@
     body: bytes
 
 
-class ServiceNotReachedError(BergamotError):
+class ServiceUnreachableError(BergamotError):
     """No byte of the call reached the service."""
 
 
--- a/bergamotthread/connection/zmq_transport.py
+++ b/bergamotthread/connection/zmq_transport.py
@@ -22,7 +22,7 @@
     start_authenticator,
 )
 from bergamotthread.connection.handshake import HandshakeMonitor
-from bergamotthread.connection.outgoing import Outgoing
+from bergamotthread.connection.outgoing import OutgoingConnection
 from bergamotthread.connection.socket_options import set_common_options
 from bergamotthread.connection.transport import Receiver, Transport
 from bergamotthread.errors import BergamotError, DecodeError, Step
@@ -90,12 +90,12 @@
         self._keys = keys
         self._clock = clock
         self._receiver: Receiver | None = None
-        self._outgoing_by_peer: dict[str, Outgoing] = {}
+        self._outgoing_by_peer: dict[str, OutgoingConnection] = {}
         self._idle_task: asyncio.Task[None] | None = None
         self._context = _create_context()
         self._authenticator = self._start_authenticator()
         self._incoming = self._bind(address)
-        self._monitor = self._watch()
+        self._monitor = self._monitor_handshakes()
         self.address = _bound_address(self._incoming)
 
     @classmethod
@@ -127,7 +127,7 @@
         try:
             self._outgoing(peer).send(encoded)
         except (zmq.ZMQError, AddressError) as error:
-            self._drop(peer, error)
+            self._record_drop(peer, error)
         else:
             self.counters.sent += 1
 
@@ -135,8 +135,8 @@
         """Start passing received envelopes to `receiver`."""
         self._receiver = receiver
         loop = asyncio.get_running_loop()
-        loop.add_reader(self._incoming.fileno(), self._drain)
-        loop.call_soon(self._drain)
+        loop.add_reader(self._incoming.fileno(), self._receive_queued)
+        loop.call_soon(self._receive_queued)
         self._idle_task = loop.create_task(self._close_idle())
 
     def close(self) -> None:
@@ -178,7 +178,7 @@
             ) from error
         return socket
 
-    def _watch(self) -> HandshakeMonitor | None:
+    def _monitor_handshakes(self) -> HandshakeMonitor | None:
         if not self._keys.curve_public:
             return None
         return HandshakeMonitor.for_server(self._incoming, self._refuse)
@@ -187,11 +187,11 @@
         self.gate.peer_ip = ''
         self.gate.refuse('CURVE handshake with an accepted key not completed')
 
-    def _outgoing(self, peer: str) -> Outgoing:
+    def _outgoing(self, peer: str) -> OutgoingConnection:
         outgoing = self._outgoing_by_peer.get(peer)
         if outgoing is None:
             address = Address.from_text(peer)
-            outgoing = Outgoing(
+            outgoing = OutgoingConnection(
                 self._context,
                 address,
                 self._keys,
@@ -200,7 +200,7 @@
             self._outgoing_by_peer[peer] = outgoing
         return outgoing
 
-    def _drop(self, peer: str, error: Exception) -> None:
+    def _record_drop(self, peer: str, error: Exception) -> None:
         self.counters.count_drop(peer)
         if self.counters.dropped_by_peer[peer] == 1:
             logging.warning(
@@ -209,7 +209,7 @@
                 error,
             )
 
-    def _drain(self) -> None:
+    def _receive_queued(self) -> None:
         for _ in range(MESSAGES_PER_WAKE_UP):
             if self._receiver is None:
                 return
@@ -218,7 +218,7 @@
             except zmq.Again:
                 return
             self._deliver(encoded, self._receiver)
-        asyncio.get_running_loop().call_soon(self._drain)
+        asyncio.get_running_loop().call_soon(self._receive_queued)
 
     def _deliver(self, encoded: bytes, receiver: Receiver) -> None:
         self.counters.received += 1
@@ -236,7 +236,7 @@
             await self._clock.sleep_ms(IDLE_TIMEOUT_MS / 2)
             oldest_used_ms = self._clock.now_ms() - IDLE_TIMEOUT_MS
             for peer, outgoing in tuple(self._outgoing_by_peer.items()):
-                if outgoing.used_ms < oldest_used_ms:
+                if outgoing.last_used_ms < oldest_used_ms:
                     self._outgoing_by_peer.pop(peer)
                     outgoing.close()
 
--- a/bergamotthread/platform/checks.py
+++ b/bergamotthread/platform/checks.py
@@ -41,14 +41,14 @@
     try:
         table = decode_manifest(path.read_bytes())
     except (OSError, msgspec.MsgspecError) as error:
-        raise _fault(path, (str(error),)) from error
-    faults = tuple(_faults(table))
+        raise _check_error(path, (str(error),)) from error
+    faults = tuple(_find_faults(table))
     if faults:
-        raise _fault(path, faults)
+        raise _check_error(path, faults)
     return f'version {table.version}, {len(table.routes)} routes'
 
 
-def _faults(table: RouteTable) -> Iterator[str]:
+def _find_faults(table: RouteTable) -> Iterator[str]:
     known_services = sorted(table.service_by_name)
     seen_prefixes: set[tuple[bytes, bytes]] = set()
     for number, route in enumerate(table.routes):
@@ -70,6 +70,6 @@
         seen_prefixes.add((route.host, route.path_prefix))
 
 
-def _fault(path: Path, faults: tuple[str, ...]) -> PlatformCheckError:
+def _check_error(path: Path, faults: tuple[str, ...]) -> PlatformCheckError:
     lines = '\n'.join(f'{path}: {fault}' for fault in faults)
     return PlatformCheckError(lines, step=Step.CHECK)
--- a/bergamotthread/platform/entry.py
+++ b/bergamotthread/platform/entry.py
@@ -14,18 +14,18 @@
 from bergamotthread.connection.http.upstream_pool import UpstreamPool
 from bergamotthread.platform.headers import PLATFORM_DIALECT
 from bergamotthread.platform.relayed_feed import RelayedFeedServer
-from bergamotthread.platform.runner_calls import RunnerCalls
+from bergamotthread.platform.runner_calls import RunnerClient
 from bergamotthread.platform.settings import (
     SETTINGS_VARIABLE,
     PlatformSettings,
     PlatformSettingsError,
 )
-from bergamotthread.platform.store import StoreCalls
+from bergamotthread.platform.store import PlatformStoreClient
 from bergamotthread.platform.watches import (
     EntryWatch,
     RunnerWatch,
     VersionWatch,
-    WatchSources,
+    WatchContext,
 )
 from bergamotthread.process.relay.choice import UpstreamChoice
 from bergamotthread.process.relay.decision_log import DecisionLog
@@ -53,13 +53,13 @@
 
 READY_PATH = b'/api/ready'
 METRICS_PATH = b'/metrics'
-HOUSEKEEPING_MS = 200
+HOUSEKEEPING_INTERVAL_MS = 200
 # The slack of the retry budget is divided by at least this many entries, which
 # allows for entries that have not registered yet.
 ENTRIES_MIN = 8
 # Fraction of the bound on retries that the entries use. The rest covers the
 # differences between their sliding windows, which are not aligned.
-BUDGET_SHARE = 0.75
+RETRY_BUDGET_FRACTION = 0.75
 
 
 _Gauge = tuple[str, str, Callable[[], float]]
@@ -91,9 +91,9 @@
         self._freshness = VersionFreshness(clock, settings.revoke_bound_ms)
         self._pool = UpstreamPool(clock, PLATFORM_DIALECT.request_id)
         self._directory = UpstreamDirectory(clock)
-        self._store = StoreCalls(settings.store_address, self._pool)
+        self._store = PlatformStoreClient(settings.store_address, self._pool)
         self._feeds = FeedSources(clock, settings.host, settings.region)
-        self._parts = self._relay_parts()
+        self._parts = self._make_relay_parts()
         self._server = RelayServer(
             clock,
             self._holder,
@@ -129,8 +129,8 @@
                 watches.entries.register(),
             )
         ]
-        while not self._is_over():
-            await self._clock.sleep_ms(HOUSEKEEPING_MS)
+        while not self._is_finished():
+            await self._clock.sleep_ms(HOUSEKEEPING_INTERVAL_MS)
             self._pool.close_stale()
             if self._life_cycle.is_out_of_rotation:
                 self._close_idle()
@@ -156,7 +156,7 @@
             return
         self._log.write('reload', changed=settings != self._settings)
 
-    def _is_over(self) -> bool:
+    def _is_finished(self) -> bool:
         if self._life_cycle.must_end:
             return True
         return (
@@ -171,7 +171,10 @@
         settings = self._settings
         status_server = StatusServer(
             self._clock,
-            {READY_PATH: self._ready, METRICS_PATH: self._metrics},
+            {
+                READY_PATH: self._readiness_response,
+                METRICS_PATH: self._metrics_response,
+            },
         )
         await listen(self._server, settings.front)
         await listen(status_server, settings.ready)
@@ -189,11 +192,11 @@
         )
         await listen(feed_server, f'{settings.ip}:{settings.peer_port}')
 
-    def _ready(self) -> tuple[int, str]:
+    def _readiness_response(self) -> tuple[int, str]:
         is_ready = self._life_cycle.is_ready and self._freshness.is_ready
         return (200 if is_ready else 503), ''
 
-    def _metrics(self) -> tuple[int, str]:
+    def _metrics_response(self) -> tuple[int, str]:
         return 200, self._parts.metrics.registry.expose()
 
     def _add_gauges(self) -> None:
@@ -217,7 +220,7 @@
             (
                 'store_calls',
                 'Calls to the store since the start.',
-                lambda: self._store.calls,
+                lambda: self._store.call_count,
             ),
             (
                 'upstream_connections_opened',
@@ -238,17 +241,17 @@
         for name, description, read_gauge in gauges:
             registry.gauge(name, description, read_gauge)
 
-    def _entries(self) -> int:
+    def _entry_count(self) -> int:
         return max(len(self._feeds), ENTRIES_MIN)
 
-    def _relay_parts(self) -> RelayParts:
+    def _make_relay_parts(self) -> RelayParts:
         settings = self._settings
         limits = ServiceRetryLimits(
-            ratio=settings.repeat_ratio * BUDGET_SHARE,
+            ratio=settings.repeat_ratio * RETRY_BUDGET_FRACTION,
             window_ms=settings.repeat_window_ms,
-            slack=settings.repeat_slack * BUDGET_SHARE,
+            slack=settings.repeat_slack * RETRY_BUDGET_FRACTION,
         )
-        runners = RunnerCalls(self._pool, self._clock)
+        runners = RunnerClient(self._pool, self._clock)
         return RelayParts(
             clock=self._clock,
             pool=self._pool,
@@ -259,7 +262,9 @@
                 settings.region_by_domain,
                 self._rng,
             ),
-            retry_budget=ServiceRetryBudget(self._clock, limits, self._entries),
+            retry_budget=ServiceRetryBudget(
+                self._clock, limits, self._entry_count
+            ),
             liveness=LivenessWatch(
                 self._clock,
                 self._directory,
@@ -272,7 +277,7 @@
         )
 
     def _make_watches(self) -> _Watches:
-        sources = WatchSources(
+        sources = WatchContext(
             self._store,
             self._feeds,
             self._clock,
--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -27,7 +27,7 @@
 FEED_PATH = b'/api/rows-feed'
 # Changes of one table kept for other entries; a manifest takes some 20 KB.
 KEPT_CHANGES_MAX = 200
-WAIT_MAX_MS = 10_000
+FEED_WAIT_MAX_MS = 10_000
 _GONE = 410
 
 
@@ -50,11 +50,11 @@
 
     clock: Clock
     version: int = 0
-    oldest: int = 0
+    kept_after_version: int = 0
     confirmed_ms: float = 0
     is_direct: bool = True
     _changes: deque[StoredRow] = field(default_factory=deque)
-    _news: asyncio.Event = field(default_factory=asyncio.Event)
+    _updated: asyncio.Event = field(default_factory=asyncio.Event)
 
     def restart(self, version: int, asked_ms: float) -> None:
         """Drop all changes after the whole table was read at a version.
@@ -65,7 +65,7 @@
             Boot clock time at which the read was requested.
         """
         self._changes.clear()
-        self.oldest = version
+        self.kept_after_version = version
         self.is_direct = True
         self._confirm(version, asked_ms)
 
@@ -86,7 +86,7 @@
         self.is_direct = is_direct
         for row in rows:
             if len(self._changes) >= KEPT_CHANGES_MAX:
-                self.oldest = self._changes.popleft().version
+                self.kept_after_version = self._changes.popleft().version
             self._changes.append(row)
         self._confirm(version, asked_ms)
 
@@ -100,15 +100,17 @@
         If there are none yet, wait up to `wait_ms` for the next confirmation.
         The result has the age of the latest confirmation.
         """
-        if version < self.oldest or not self.version:
+        if version < self.kept_after_version or not self.version:
             return None
-        event = self._news
+        event = self._updated
         if version >= self.version:
-            await _wait(event, min(wait_ms, WAIT_MAX_MS), self.clock)
-        if version < self.oldest:
+            await _wait_for_event(
+                event, min(wait_ms, FEED_WAIT_MAX_MS), self.clock
+            )
+        if version < self.kept_after_version:
             return None
         rows = tuple(
-            _wire(row) for row in self._changes if row.version > version
+            _wire_row(row) for row in self._changes if row.version > version
         )
         age_ms = self.clock.boot_ms() - self.confirmed_ms
         return WireRows(
@@ -121,8 +123,8 @@
     def _confirm(self, version: int, asked_ms: float) -> None:
         self.version = max(version, self.version)
         self.confirmed_ms = max(asked_ms, self.confirmed_ms)
-        event = self._news
-        self._news = asyncio.Event()
+        event = self._updated
+        self._updated = asyncio.Event()
         event.set()
 
 
@@ -156,7 +158,9 @@
         exchange.respond(200, (), msgspec.json.encode(changes))
 
 
-async def _wait(event: asyncio.Event, wait_ms: float, clock: Clock) -> None:
+async def _wait_for_event(
+    event: asyncio.Event, wait_ms: float, clock: Clock
+) -> None:
     try:
         async with clock.timeout_ms(wait_ms):
             await event.wait()
@@ -164,7 +168,7 @@
         return
 
 
-def _wire(row: StoredRow) -> WireRow:
+def _wire_row(row: StoredRow) -> WireRow:
     if row.payload is None:
         return WireRow(row.key, deleted=True, ver=row.version)
     encoded = base64.b64encode(row.payload).decode()
--- a/bergamotthread/platform/runner_calls.py
+++ b/bergamotthread/platform/runner_calls.py
@@ -8,7 +8,7 @@
 from absl import logging
 
 from bergamotthread.clock import Clock
-from bergamotthread.connection.http.fetch import Asked, fetch
+from bergamotthread.connection.http.fetch import FetchRequest, fetch
 from bergamotthread.connection.http.upstream_pool import UpstreamPool
 from bergamotthread.platform.runner_rows import decode_report
 from bergamotthread.process.relay.liveness import PROBE_TIMEOUT_MS
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class RunnerCalls(EngineKvCache):
+class RunnerClient(EngineKvCache):
     """Calls runners over pooled connections."""
 
     pool: UpstreamPool
@@ -42,7 +42,7 @@
             fetched = await fetch(
                 self.pool,
                 upstream.address,
-                Asked(b'GET', b'/api/report'),
+                FetchRequest(b'GET', b'/api/report'),
                 PROBE_TIMEOUT_MS,
             )
         except ConnectionError as error:
@@ -77,7 +77,7 @@
             fetched = await fetch(
                 self.pool,
                 source.address,
-                Asked(
+                FetchRequest(
                     b'POST', b'/api/kv-move', msgspec.json.encode(copy_request)
                 ),
                 COPY_TIMEOUT_MS,
@@ -105,7 +105,7 @@
             await fetch(
                 self.pool,
                 source.address,
-                Asked(b'DELETE', target),
+                FetchRequest(b'DELETE', target),
                 COPY_TIMEOUT_MS,
             )
         except ConnectionError as error:
@@ -119,7 +119,7 @@
             fetched = await fetch(
                 self.pool,
                 upstream.address,
-                Asked(b'GET', b'/api/kv-list'),
+                FetchRequest(b'GET', b'/api/kv-list'),
                 PROBE_TIMEOUT_MS,
             )
             cached = msgspec.json.decode(fetched.body, type=_Kept)
--- a/bergamotthread/platform/runner_rows.py
+++ b/bergamotthread/platform/runner_rows.py
@@ -12,7 +12,7 @@
 )
 
 # Tokens of a typical prompt, from the users' data sheets.
-UNREAD_TOKENS = 8200
+TYPICAL_PROMPT_TOKENS = 8200
 
 
 class _Row(msgspec.Struct, frozen=True):
@@ -86,10 +86,10 @@
 
 def _unread_tokens(report: _Report) -> int:
     prefilling_runs = max(report.in_flight - len(report.runs), 0)
-    unread_tokens = prefilling_runs * UNREAD_TOKENS
+    unread_tokens = prefilling_runs * TYPICAL_PROMPT_TOKENS
     if not report.handles:
         running_tokens = sum(tokens for _, tokens, *_ in report.runs)
         unread_tokens = min(
             max(report.kv_used - running_tokens, 0), unread_tokens * 2
         )
-    return unread_tokens + report.queue_depth * UNREAD_TOKENS
+    return unread_tokens + report.queue_depth * TYPICAL_PROMPT_TOKENS
--- a/bergamotthread/platform/store.py
+++ b/bergamotthread/platform/store.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from bergamotthread.connection.http.fetch import Asked, fetch
+from bergamotthread.connection.http.fetch import FetchRequest, fetch
 from bergamotthread.connection.http.upstream_pool import UpstreamPool
 from bergamotthread.errors import BergamotError, Step
 
@@ -19,14 +19,14 @@
 # slow, this can take up to a hundred times as long.
 CALL_TIMEOUT_MS = 1200
 # A long poll is given up when its answer is this much later than its wait.
-POLL_MARGIN_MS = 700
+POLL_TIMEOUT_MARGIN_MS = 700
 # The same for a poll of another entry, which answers from memory.
 FOLLOW_TIMEOUT_MARGIN_MS = 200
-PAGE_ROWS = 500
+ROWS_PER_PAGE = 500
 _OK = 200
 _NOT_FOUND = 404
 _GONE = 410
-_NOT_AS_EXPECTED = 412
+_PRECONDITION_FAILED = 412
 
 _Told = TypeVar('_Told')
 _WireFields = dict[str, str | int]
@@ -40,7 +40,7 @@
     """The requested changes are no longer kept; read the whole table."""
 
 
-class NotAsExpectedError(StoreCallError):
+class PreconditionFailedError(StoreCallError):
     """A precondition of a write did not hold; nothing was written."""
 
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowsRead:
+class ReadResult:
     """Rows, and the version of the store up to which they are complete.
 
     Parameters
@@ -120,14 +120,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Feed:
+class _FeedPoll:
     table: str
     after: int
     wait_ms: int
 
 
 @dataclass
-class StoreCalls:
+class PlatformStoreClient:
     """Calls the store over pooled connections; no call is retried.
 
     Parameters
@@ -138,7 +138,7 @@
 
     address: str
     pool: UpstreamPool
-    calls: int = 0
+    call_count: int = 0
 
     async def read_rows(
         self,
@@ -146,7 +146,7 @@
         start: str = '',
         end: str = '',
         limit: int | None = None,
-    ) -> RowsRead:
+    ) -> ReadResult:
         """Return the rows of a table whose part is empty, sorted by key.
 
         Parameters
@@ -165,24 +165,24 @@
         version = 0
         bounds = {'from': start, 'target': end}
         while True:
-            remaining = PAGE_ROWS if limit is None else limit - len(rows)
+            remaining = ROWS_PER_PAGE if limit is None else limit - len(rows)
             query = {
                 'table': table,
                 'part': '',
-                'limit': str(min(remaining, PAGE_ROWS)),
+                'limit': str(min(remaining, ROWS_PER_PAGE)),
                 **{name: key for name, key in bounds.items() if key},
             }
-            page = await self._rows(
+            page = await self._request_rows(
                 self.address,
                 'rows-get',
                 query,
                 CALL_TIMEOUT_MS,
             )
             version = version or page.ver
-            rows.extend(_rows(page.rows))
+            rows.extend(_decode_rows(page.rows))
             is_full = limit is not None and len(rows) >= limit
             if is_full or not page.has_more or not page.rows:
-                return RowsRead(tuple(rows), version)
+                return ReadResult(tuple(rows), version)
             bounds['from'] = f'{page.rows[-1].key}\0'
 
     async def change(self, change: RowChange) -> int:
@@ -195,14 +195,14 @@
         StoreCallError
             If the store did not answer; the change may have taken effect.
         """
-        row = _row_name(change.table, change.key)
+        row = _row_reference(change.table, change.key)
         condition = {**row, 'ver': change.expected}
         if change.payload is None:
             body = await self._transact(expected=[condition], removed=[row])
         else:
-            put = {**row, 'value': _encoded(change.payload)}
+            put = {**row, 'value': _encode_payload(change.payload)}
             body = await self._transact(expected=[condition], puts=[put])
-        return self._decoded(body, WireRows).ver
+        return self._decode(body, WireRows).ver
 
     async def put_object(self, name: str, body: bytes) -> None:
         """Store an object under a new name.
@@ -216,7 +216,7 @@
         """
         await self._call(
             self.address,
-            Asked(
+            FetchRequest(
                 b'PUT',
                 _object_target('put', name),
                 body,
@@ -227,13 +227,13 @@
 
     async def read_object(self, name: str) -> bytes | None:
         """Return an object, or None if it does not exist."""
-        request = Asked(b'GET', _object_target('get', name))
+        request = FetchRequest(b'GET', _object_target('get', name))
         try:
             return await self._call(self.address, request, CALL_TIMEOUT_MS)
         except NotFoundError:
             return None
 
-    async def object_names(self, prefix: str, limit: int) -> tuple[str, ...]:
+    async def list_objects(self, prefix: str, limit: int) -> tuple[str, ...]:
         """Return up to `limit` object names that start with a prefix, sorted.
 
         Raises
@@ -247,10 +247,10 @@
             target = f'/api/blob-list?{urlencode(query)}'.encode()
             body = await self._call(
                 self.address,
-                Asked(b'GET', target),
+                FetchRequest(b'GET', target),
                 CALL_TIMEOUT_MS,
             )
-            page = self._decoded(body, _WireNames)
+            page = self._decode(body, _WireNames)
             names.extend(page.names)
             if not page.has_more or not page.names or len(names) >= limit:
                 return tuple(names[:limit])
@@ -261,7 +261,7 @@
         table: str,
         after: int,
         wait_ms: int,
-    ) -> RowsRead:
+    ) -> ReadResult:
         """Return the rows changed after a version.
 
         If there are none yet, the store waits up to `wait_ms` for a change.
@@ -273,21 +273,21 @@
         StoreCallError
             If the store did not answer.
         """
-        page = await self._feed(
+        page = await self._poll_feed(
             self.address,
-            _Feed(table, after, wait_ms),
-            POLL_MARGIN_MS + wait_ms,
+            _FeedPoll(table, after, wait_ms),
+            POLL_TIMEOUT_MARGIN_MS + wait_ms,
         )
-        return _read(page, after)
+        return _read_result(page, after)
 
-    async def follow(
+    async def read_relayed_changes(
         self,
         peer: str,
         table: str,
         after: int,
         wait_ms: int,
         age_max_ms: float,
-    ) -> RowsRead:
+    ) -> ReadResult:
         """Return the changes that another entry read from the store.
 
         Parameters
@@ -303,9 +303,9 @@
             If the entry did not answer, itself follows another entry, or its
             changes were confirmed longer ago than `age_max_ms`.
         """
-        page = await self._feed(
+        page = await self._poll_feed(
             peer,
-            _Feed(table, after, wait_ms),
+            _FeedPoll(table, after, wait_ms),
             FOLLOW_TIMEOUT_MARGIN_MS + wait_ms,
         )
         if not page.is_direct or page.age_ms > age_max_ms:
@@ -316,7 +316,7 @@
                 step=Step.STORE,
                 peer=peer,
             )
-        return _read(page, after)
+        return _read_result(page, after)
 
     async def put(self, table: str, key: str, payload: bytes) -> None:
         """Write one row without a precondition.
@@ -326,8 +326,8 @@
         StoreCallError
             If the store did not confirm the write.
         """
-        row = _row_name(table, key)
-        await self._transact(puts=[{**row, 'value': _encoded(payload)}])
+        row = _row_reference(table, key)
+        await self._transact(puts=[{**row, 'value': _encode_payload(payload)}])
 
     async def _transact(
         self,
@@ -339,14 +339,16 @@
         changes = {'expected_rev': expected, 'puts': puts, 'remove': removed}
         return await self._call(
             self.address,
-            Asked(b'POST', b'/api/rows-tx', msgspec.json.encode(changes)),
+            FetchRequest(
+                b'POST', b'/api/rows-tx', msgspec.json.encode(changes)
+            ),
             CALL_TIMEOUT_MS,
         )
 
-    async def _feed(
+    async def _poll_feed(
         self,
         address: str,
-        feed: _Feed,
+        feed: _FeedPoll,
         timeout_ms: float,
     ) -> WireRows:
         query = {
@@ -354,9 +356,9 @@
             'after': str(feed.after),
             'wait_ms': str(feed.wait_ms),
         }
-        return await self._rows(address, 'rows-feed', query, timeout_ms)
+        return await self._request_rows(address, 'rows-feed', query, timeout_ms)
 
-    async def _rows(
+    async def _request_rows(
         self,
         address: str,
         call: str,
@@ -364,10 +366,12 @@
         timeout_ms: float,
     ) -> WireRows:
         target = f'/api/{call}?{urlencode(query)}'.encode()
-        body = await self._call(address, Asked(b'GET', target), timeout_ms)
-        return self._decoded(body, WireRows)
+        body = await self._call(
+            address, FetchRequest(b'GET', target), timeout_ms
+        )
+        return self._decode(body, WireRows)
 
-    def _decoded(self, body: bytes, kind: type[_Told]) -> _Told:
+    def _decode(self, body: bytes, kind: type[_Told]) -> _Told:
         try:
             return msgspec.json.decode(body, type=kind)
         except msgspec.MsgspecError as error:
@@ -376,11 +380,11 @@
     async def _call(
         self,
         address: str,
-        request: Asked,
+        request: FetchRequest,
         timeout_ms: float,
     ) -> bytes:
         if address == self.address:
-            self.calls += 1
+            self.call_count += 1
         target = request.target.decode()
         try:
             fetched = await fetch(self.pool, address, request, timeout_ms)
@@ -399,15 +403,15 @@
 _ERROR_BY_STATUS: dict[int, type[StoreCallError]] = {
     _NOT_FOUND: NotFoundError,
     _GONE: HistoryLostError,
-    _NOT_AS_EXPECTED: NotAsExpectedError,
+    _PRECONDITION_FAILED: PreconditionFailedError,
 }
 
 
-def _row_name(table: str, key: str) -> _WireFields:
+def _row_reference(table: str, key: str) -> _WireFields:
     return {'table': table, 'part': '', 'key': key}
 
 
-def _encoded(payload: bytes) -> str:
+def _encode_payload(payload: bytes) -> str:
     return base64.b64encode(payload).decode()
 
 
@@ -415,16 +419,16 @@
     return f'/api/blob-{call}/{quote(name, safe="")}'.encode()
 
 
-def _read(page: WireRows, after: int) -> RowsRead:
-    rows = tuple(_rows(page.rows))
-    return RowsRead(rows, max(page.ver, after), page.age_ms)
+def _read_result(page: WireRows, after: int) -> ReadResult:
+    rows = tuple(_decode_rows(page.rows))
+    return ReadResult(rows, max(page.ver, after), page.age_ms)
 
 
-def _rows(wire_rows: Sequence[WireRow]) -> list[StoredRow]:
-    return [_row(wire_row) for wire_row in wire_rows]
+def _decode_rows(wire_rows: Sequence[WireRow]) -> list[StoredRow]:
+    return [_decode_row(wire_row) for wire_row in wire_rows]
 
 
-def _row(wire_row: WireRow) -> StoredRow:
+def _decode_row(wire_row: WireRow) -> StoredRow:
     if wire_row.deleted:
         return StoredRow(wire_row.key, None, wire_row.ver)
     try:
--- a/bergamotthread/platform/tables.py
+++ b/bergamotthread/platform/tables.py
@@ -16,10 +16,10 @@
     StoreUnavailableError,
 )
 from bergamotthread.platform.store import (
-    NotAsExpectedError,
+    PlatformStoreClient,
+    PreconditionFailedError,
     RowChange,
     StoreCallError,
-    StoreCalls,
     StoredRow,
 )
 from bergamotthread.process.settings import PlatformSettings
@@ -42,18 +42,18 @@
 # machines.
 HOSTS_TABLE = 'hosts'
 # Last code point; a prefix followed by it sorts after all keys with the prefix.
-_AFTER_ALL = '\U0010ffff'
+_LAST_CODE_POINT = '\U0010ffff'
 
 
-class StoredTable(Table):
+class PlatformTable(Table):
     """The product's rows, in one table of the platform's store."""
 
-    def __init__(self, calls: StoreCalls) -> None:
+    def __init__(self, calls: PlatformStoreClient) -> None:
         self._calls = calls
 
     async def read(self, key: str) -> Row | None:
         """Return the row, or None where there is none."""
-        with _translated():
+        with _translate_errors():
             rows_read = await self._calls.read_rows(
                 ROWS_TABLE,
                 key,
@@ -66,32 +66,32 @@
     async def write(self, key: str, body: bytes, *, expected: int) -> Row:
         """Write a row whose revision is `expected`."""
         change = RowChange(ROWS_TABLE, key, body, expected)
-        with _translated():
+        with _translate_errors():
             revision = await self._calls.change(change)
         return Row(key, body, revision)
 
     async def delete(self, key: str, *, expected: int) -> None:
         """Delete a row whose revision is `expected`."""
         change = RowChange(ROWS_TABLE, key, None, expected)
-        with _translated():
+        with _translate_errors():
             await self._calls.change(change)
 
     async def scan(self, prefix: str, *, limit: int) -> tuple[Row, ...]:
         """Return up to `limit` rows whose keys start with `prefix`."""
-        with _translated():
+        with _translate_errors():
             read = await self._calls.read_rows(
                 ROWS_TABLE,
                 prefix,
-                f'{prefix}{_AFTER_ALL}',
+                f'{prefix}{_LAST_CODE_POINT}',
                 limit,
             )
         return _rows(read.rows)
 
 
-class StoredObjects(ObjectStore):
+class PlatformObjectStore(ObjectStore):
     """The product's objects, in the platform's store."""
 
-    def __init__(self, calls: StoreCalls) -> None:
+    def __init__(self, calls: PlatformStoreClient) -> None:
         self._calls = calls
 
     async def put(self, name: str, body: bytes) -> None:
@@ -103,7 +103,7 @@
             If the name is taken by an object with another body.
         """
         try:
-            with _translated():
+            with _translate_errors():
                 await self._calls.put_object(name, body)
         except StoreConflictError:
             if await self.get(name) != body:
@@ -111,48 +111,48 @@
 
     async def get(self, name: str) -> bytes | None:
         """Return an object, or None where there is none."""
-        with _translated():
+        with _translate_errors():
             return await self._calls.read_object(name)
 
     async def names(self, prefix: str, *, limit: int) -> tuple[str, ...]:
         """Return up to `limit` names that start with `prefix`, sorted."""
-        with _translated():
-            return await self._calls.object_names(prefix, limit)
+        with _translate_errors():
+            return await self._calls.list_objects(prefix, limit)
 
 
-class StoredHostList(HostList):
+class PlatformHostList(HostList):
     """Host list, read from a table of the platform's store."""
 
-    def __init__(self, calls: StoreCalls) -> None:
+    def __init__(self, calls: PlatformStoreClient) -> None:
         self._calls = calls
 
     async def hosts(self) -> tuple[HostEntry, ...]:
         """Return all hosts that the platform lists."""
-        with _translated():
+        with _translate_errors():
             read = await self._calls.read_rows(HOSTS_TABLE)
-        decoded = (_host(row) for row in read.rows)
+        decoded = (_decode_host(row) for row in read.rows)
         return tuple(host for host in decoded if host is not None)
 
 
 def open_store(settings: PlatformSettings, clock: Clock) -> StoreClient:
     """Return a client of the platform's store, limited by the settings."""
     connections = UpstreamPool(clock, b'')
-    calls = StoreCalls(settings.address, connections)
+    calls = PlatformStoreClient(settings.address, connections)
     return StoreClient(
-        StoredTable(calls),
-        StoredObjects(calls),
-        StoredHostList(calls),
+        PlatformTable(calls),
+        PlatformObjectStore(calls),
+        PlatformHostList(calls),
         StoreGuard(StoreLimits.from_settings(settings), clock),
         connections,
     )
 
 
 @contextmanager
-def _translated() -> Iterator[None]:
+def _translate_errors() -> Iterator[None]:
     """Translate errors of `StoreCalls` to those of the product's interfaces."""
     try:
         yield
-    except NotAsExpectedError as error:
+    except PreconditionFailedError as error:
         raise StoreConflictError(
             error.message,
             step=Step.STORE,
@@ -171,7 +171,7 @@
     )
 
 
-def _host(row: StoredRow) -> HostEntry | None:
+def _decode_host(row: StoredRow) -> HostEntry | None:
     """Decode a host; return None for a row that holds something else."""
     try:
         return msgspec.json.decode(row.payload or b'', type=HostEntry)
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -18,8 +18,8 @@
 from bergamotthread.platform.runner_rows import decode_runner
 from bergamotthread.platform.store import (
     HistoryLostError,
+    PlatformStoreClient,
     StoreCallError,
-    StoreCalls,
     StoredRow,
 )
 from bergamotthread.process.relay.decision_log import DecisionLog
@@ -39,32 +39,32 @@
 # current when the poll was sent. A drain must take effect within 3 s and a
 # removed key within 5 s, even if a poll is lost or the entry that is followed
 # stops answering.
-VERSION_WAIT_MS = 1000
-RUNNER_WAIT_MS = 1000
+VERSION_POLL_WAIT_MS = 1000
+RUNNER_POLL_WAIT_MS = 1000
 # Pause between polls, so that one answer has the rows of several runners that
 # change together.
-RUNNER_INTERVAL_MS = 250
+RUNNER_POLL_INTERVAL_MS = 250
 ENTRY_TABLE = 'entries'
-ENTRY_WAIT_MS = 20_000
-ENTRY_INTERVAL_MS = 1000
-RETRY_MS = 250
+ENTRY_POLL_WAIT_MS = 20_000
+ENTRY_POLL_INTERVAL_MS = 1000
+RETRY_DELAY_MS = 250
 # The poll of a follower waits this much longer than the followed entry's own
 # poll of the store, which ends within this time after its wait.
-FOLLOW_MARGIN_MS = 300
-REGISTER_RETRY_MS = 3000
+FOLLOWER_EXTRA_WAIT_MS = 300
+REGISTER_RETRY_DELAY_MS = 3000
 # A row that is missing after an outage of the store may have lapsed during the
 # outage, although its runner lives. The users say that such rows are back
 # within two seconds of the store's return. The time counts from the last failed
 # call to the store and not from the removal of the row, so that an upstream
 # that is gone for good gets no work past the bound on drains.
-LAPSED_ROW_MS = 2500
+LAPSED_ROW_GRACE_MS = 2500
 
 
 @dataclass(frozen=True)
-class WatchSources:
+class WatchContext:
     """Sources of rows, clock and log that all watches share."""
 
-    store: StoreCalls
+    store: PlatformStoreClient
     feeds: FeedSources
     clock: Clock
     log: DecisionLog
@@ -91,7 +91,7 @@
 
     def __init__(
         self,
-        sources: WatchSources,
+        sources: WatchContext,
     ) -> None:
         self._store = sources.store
         self._clock = sources.clock
@@ -99,33 +99,33 @@
         self._feeds = sources.feeds
         self.history = TableHistory(sources.clock)
         self._version: int | None = None
-        self._is_lost = False
+        self._is_store_failing = False
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
             try:
-                await self._read()
+                await self._poll()
             except HistoryLostError as error:
                 self._version = None
                 self._log.write('store-history-lost', detail=str(error))
             except StoreCallError as error:
-                self._note_lost(error)
-                await self._clock.sleep_ms(RETRY_MS)
+                self._log_store_failure(error)
+                await self._clock.sleep_ms(RETRY_DELAY_MS)
             else:
-                self._note_regained()
+                self._log_store_recovery()
                 await self._clock.sleep_ms(self.interval_ms)
 
     @abstractmethod
-    def take_all(self, rows: Iterable[StoredRow]) -> None:
+    def apply_all(self, rows: Iterable[StoredRow]) -> None:
         """Apply the rows of the whole table."""
 
     @abstractmethod
-    def take_changes(self, rows: Iterable[StoredRow]) -> None:
+    def apply_changes(self, rows: Iterable[StoredRow]) -> None:
         """Apply changed rows in order."""
 
     @abstractmethod
-    def confirmed(self, asked_ms: float) -> None:
+    def record_confirmed(self, asked_ms: float) -> None:
         """Note that all writes before `asked_ms` are known.
 
         Parameters
@@ -135,15 +135,17 @@
         """
 
     @abstractmethod
-    def lost(self) -> None:
+    def record_store_failure(self) -> None:
         """Note that the store did not answer."""
 
-    async def _read(self) -> None:
+    async def _poll(self) -> None:
         if self._version is None:
             await self._read_all()
             return
         source = self._feeds.choose(self.table)
-        if source is not None and await self._follow(self._version, source):
+        if source is not None and await self._read_from_entry(
+            self._version, source
+        ):
             return
         try:
             await self._read_changes(self._version, None)
@@ -154,7 +156,7 @@
             raise
         self._feeds.record_success(self.table, None)
 
-    async def _follow(self, after: int, source: EntryRecord) -> bool:
+    async def _read_from_entry(self, after: int, source: EntryRecord) -> bool:
         """Read changes from another entry; return whether this succeeded."""
         try:
             await self._read_changes(after, source)
@@ -176,10 +178,10 @@
     async def _read_all(self) -> None:
         asked_ms = self._clock.boot_ms()
         read = await self._store.read_rows(self.table)
-        self.take_all(read.rows)
+        self.apply_all(read.rows)
         self._version = read.version
         self.history.restart(read.version, asked_ms)
-        self.confirmed(asked_ms)
+        self.record_confirmed(asked_ms)
 
     async def _read_changes(
         self,
@@ -188,36 +190,36 @@
     ) -> None:
         asked_ms = self._clock.boot_ms()
         if source is None:
-            wait_ms = 0 if self._is_lost else self.wait_ms
+            wait_ms = 0 if self._is_store_failing else self.wait_ms
             read = await self._store.read_changes(self.table, after, wait_ms)
         else:
-            read = await self._store.follow(
+            read = await self._store.read_relayed_changes(
                 source.address,
                 self.table,
                 after,
-                self.wait_ms + FOLLOW_MARGIN_MS,
+                self.wait_ms + FOLLOWER_EXTRA_WAIT_MS,
                 self.age_max_ms,
             )
             asked_ms = self._clock.boot_ms() - read.age_ms
-        self.take_changes(read.rows)
+        self.apply_changes(read.rows)
         self._version = read.version
         is_direct = source is None
         self.history.add(read.rows, read.version, asked_ms, is_direct)
-        self.confirmed(asked_ms)
+        self.record_confirmed(asked_ms)
 
-    def _note_lost(self, error: StoreCallError) -> None:
-        self.lost()
-        if not self._is_lost:
-            self._is_lost = True
+    def _log_store_failure(self, error: StoreCallError) -> None:
+        self.record_store_failure()
+        if not self._is_store_failing:
+            self._is_store_failing = True
             self._log.write(
                 'store-lost',
                 table=self.table,
                 detail=str(error),
             )
 
-    def _note_regained(self) -> None:
-        if self._is_lost:
-            self._is_lost = False
+    def _log_store_recovery(self) -> None:
+        if self._is_store_failing:
+            self._is_store_failing = False
             self._log.write('store-regained', table=self.table)
 
 
@@ -225,13 +227,13 @@
     """Applies the operator's manifest when it changes."""
 
     table = OPERATOR_TABLE
-    wait_ms = VERSION_WAIT_MS
+    wait_ms = VERSION_POLL_WAIT_MS
     interval_ms = 0
-    age_max_ms = VERSION_WAIT_MS + FOLLOW_MARGIN_MS
+    age_max_ms = VERSION_POLL_WAIT_MS + FOLLOWER_EXTRA_WAIT_MS
 
     def __init__(
         self,
-        sources: WatchSources,
+        sources: WatchContext,
         holder: RouteTableHolder,
         freshness: VersionFreshness,
         life_cycle: LifeCycle,
@@ -241,29 +243,29 @@
         self._freshness = freshness
         self._life_cycle = life_cycle
 
-    def take_all(self, rows: Iterable[StoredRow]) -> None:
+    def apply_all(self, rows: Iterable[StoredRow]) -> None:
         """Apply the manifest among the rows."""
-        self.take_changes(rows)
+        self.apply_changes(rows)
 
-    def take_changes(self, rows: Iterable[StoredRow]) -> None:
+    def apply_changes(self, rows: Iterable[StoredRow]) -> None:
         """Apply the manifest if it changed."""
         for row in rows:
             if row.key == MANIFEST_KEY and row.payload is not None:
-                self._take(row.payload)
+                self._apply_manifest(row.payload)
 
-    def confirmed(self, asked_ms: float) -> None:
+    def record_confirmed(self, asked_ms: float) -> None:
         """Note that the version in force was current at `asked_ms`."""
         if self._holder.table is not None:
             self._freshness.confirm(asked_ms)
 
-    def lost(self) -> None:
+    def record_store_failure(self) -> None:
         """Keep the version in force; the age of its confirmation grows."""
         logging.debug(
             'store did not answer; version was confirmed %.0f ms ago',
             self._freshness.age_ms,
         )
 
-    def _take(self, encoded: bytes) -> None:
+    def _apply_manifest(self, encoded: bytes) -> None:
         try:
             table = decode_manifest(encoded)
         except msgspec.MsgspecError as error:
@@ -283,47 +285,49 @@
     """Keeps the upstream directory up to date with the runners' rows."""
 
     table = RUNNER_TABLE
-    wait_ms = RUNNER_WAIT_MS
-    interval_ms = RUNNER_INTERVAL_MS
-    age_max_ms = RUNNER_WAIT_MS + RUNNER_INTERVAL_MS + FOLLOW_MARGIN_MS
+    wait_ms = RUNNER_POLL_WAIT_MS
+    interval_ms = RUNNER_POLL_INTERVAL_MS
+    age_max_ms = (
+        RUNNER_POLL_WAIT_MS + RUNNER_POLL_INTERVAL_MS + FOLLOWER_EXTRA_WAIT_MS
+    )
 
     def __init__(
         self,
-        sources: WatchSources,
+        sources: WatchContext,
         directory: UpstreamDirectory,
         pool: UpstreamPool,
     ) -> None:
         super().__init__(sources)
         self._directory = directory
         self._pool = pool
-        self._lost_ms = -math.inf
+        self._store_failed_ms = -math.inf
         self._lapsed: set[str] = set()
-        self._dropping: asyncio.Task[None] | None = None
+        self._removal_task: asyncio.Task[None] | None = None
 
-    def take_all(self, rows: Iterable[StoredRow]) -> None:
+    def apply_all(self, rows: Iterable[StoredRow]) -> None:
         """Apply all rows; upstreams without a row have left."""
         rows = tuple(rows)
         listed = {row.key for row in rows if row.payload is not None}
-        self.take_changes(rows)
+        self.apply_changes(rows)
         for instance in self._directory.instances() - listed:
-            self._gone(instance)
+            self._handle_missing_row(instance)
 
-    def take_changes(self, rows: Iterable[StoredRow]) -> None:
+    def apply_changes(self, rows: Iterable[StoredRow]) -> None:
         """Apply changed rows; a removed row means that its upstream left."""
         for row in rows:
             if row.payload is None:
-                self._gone(row.key)
+                self._handle_missing_row(row.key)
             else:
-                self._listed(row.key, row.payload)
+                self._update_upstream(row.key, row.payload)
 
-    def confirmed(self, asked_ms: float) -> None:
+    def record_confirmed(self, asked_ms: float) -> None:
         """Do nothing; rows that do not return are dropped after a time."""
 
-    def lost(self) -> None:
+    def record_store_failure(self) -> None:
         """Record an outage, in which rows of live runners may lapse."""
-        self._lost_ms = self._clock.now_ms()
+        self._store_failed_ms = self._clock.now_ms()
 
-    def _listed(self, instance: str, encoded: bytes) -> None:
+    def _update_upstream(self, instance: str, encoded: bytes) -> None:
         self._lapsed.discard(instance)
         record = decode_runner(instance, encoded)
         if record is None:
@@ -340,38 +344,40 @@
             )
         former = self._directory.update(record)
         if former is not None:
-            self._pool.forget(former.address)
+            self._pool.close_address(former.address)
             self._log.write(
                 'upstream-replaced',
                 upstream=former.record.instance,
                 by=instance,
             )
 
-    def _gone(self, instance: str) -> None:
-        if self._lapse_left_ms <= 0:
+    def _handle_missing_row(self, instance: str) -> None:
+        if self._lapse_remaining_ms <= 0:
             self._remove(instance)
             return
         self._lapsed.add(instance)
         self._directory.record_unlisted(instance)
-        if self._dropping is None or self._dropping.done():
-            self._dropping = asyncio.create_task(self._drop_lapsed())
+        if self._removal_task is None or self._removal_task.done():
+            self._removal_task = asyncio.create_task(self._remove_lapsed())
 
     @property
-    def _lapse_left_ms(self) -> float:
+    def _lapse_remaining_ms(self) -> float:
         """Return the time left for rows that lapsed in an outage to return."""
-        return self._lost_ms + LAPSED_ROW_MS - self._clock.now_ms()
+        return (
+            self._store_failed_ms + LAPSED_ROW_GRACE_MS - self._clock.now_ms()
+        )
 
-    async def _drop_lapsed(self) -> None:
+    async def _remove_lapsed(self) -> None:
         """Remove the upstreams whose rows did not return after an outage."""
-        while self._lapse_left_ms > 0:
-            await self._clock.sleep_ms(self._lapse_left_ms)
+        while self._lapse_remaining_ms > 0:
+            await self._clock.sleep_ms(self._lapse_remaining_ms)
         while self._lapsed:
             self._remove(self._lapsed.pop())
 
     def _remove(self, instance: str) -> None:
         upstream = self._directory.remove(instance)
         if upstream is not None:
-            self._pool.forget(upstream.address)
+            self._pool.close_address(upstream.address)
             self._log.write('upstream-gone', upstream=instance)
 
 
@@ -384,48 +390,48 @@
     """Tracks the other entries by the rows that they register."""
 
     table = ENTRY_TABLE
-    wait_ms = ENTRY_WAIT_MS
-    interval_ms = ENTRY_INTERVAL_MS
+    wait_ms = ENTRY_POLL_WAIT_MS
+    interval_ms = ENTRY_POLL_INTERVAL_MS
     # Entries rarely come and go, and calls to one that has gone fail.
     age_max_ms = math.inf
 
-    def __init__(self, sources: WatchSources, own: EntryRecord) -> None:
+    def __init__(self, sources: WatchContext, own: EntryRecord) -> None:
         super().__init__(sources)
-        self._own = own
+        self._own_record = own
         self._is_registered = False
 
     async def register(self) -> None:
         """Write the row of this entry; retry until the store has it."""
-        row = _EntryRow(self._own.address, self._own.region)
+        row = _EntryRow(self._own_record.address, self._own_record.region)
         while not self._is_registered:
             try:
                 await self._store.put(
                     self.table,
-                    self._own.host,
+                    self._own_record.host,
                     msgspec.json.encode(row),
                 )
             except StoreCallError as error:
                 self._log.write('not-registered', detail=str(error))
-                await self._clock.sleep_ms(REGISTER_RETRY_MS)
+                await self._clock.sleep_ms(REGISTER_RETRY_DELAY_MS)
             else:
                 self._is_registered = True
 
-    def take_all(self, rows: Iterable[StoredRow]) -> None:
+    def apply_all(self, rows: Iterable[StoredRow]) -> None:
         """Apply all registrations."""
-        self.take_changes(rows)
+        self.apply_changes(rows)
 
-    def take_changes(self, rows: Iterable[StoredRow]) -> None:
+    def apply_changes(self, rows: Iterable[StoredRow]) -> None:
         """Apply changed registrations."""
         for row in rows:
-            self._take(row)
+            self._apply_row(row)
 
-    def confirmed(self, asked_ms: float) -> None:
+    def record_confirmed(self, asked_ms: float) -> None:
         """Do nothing; calls to an entry that has gone fail."""
 
-    def lost(self) -> None:
+    def record_store_failure(self) -> None:
         """Do nothing; calls to an entry that has gone fail."""
 
-    def _take(self, row: StoredRow) -> None:
+    def _apply_row(self, row: StoredRow) -> None:
         try:
             entry_row = msgspec.json.decode(row.payload or b'', type=_EntryRow)
         except msgspec.MsgspecError as error:
--- a/bergamotthread/process/calls/call_executor.py
+++ b/bergamotthread/process/calls/call_executor.py
@@ -16,8 +16,8 @@
 from bergamotthread.connection.service_client import (
     ServiceClient,
     ServiceLostError,
-    ServiceNotReachedError,
     ServiceRequest,
+    ServiceUnreachableError,
 )
 from bergamotthread.connection.transport import Transport
 from bergamotthread.process.calls.ticket_book import TicketBook
@@ -278,7 +278,7 @@
     async def _call(self, dispatch: CallDispatch) -> CallReply:
         try:
             answer = await self._client.call(self._request_of(dispatch))
-        except ServiceNotReachedError as error:
+        except ServiceUnreachableError as error:
             self._book.close_unsent(dispatch.call, dispatch.attempt)
             return _not_dispatched(dispatch, error.message)
         except ServiceLostError as error:
--- a/bergamotthread/process/entry_app.py
+++ b/bergamotthread/process/entry_app.py
@@ -15,7 +15,7 @@
 from bergamotthread.connection.event_stream import (
     EventStreamResponse,
     first_completed,
-    until_disconnected,
+    wait_for_disconnect,
 )
 from bergamotthread.errors import Step
 from bergamotthread.process.calls.service_calls import (
@@ -264,7 +264,7 @@
         try:
             await first_completed(
                 _collect(stream, answers),
-                until_disconnected(request.receive),
+                wait_for_disconnect(request.receive),
             )
         finally:
             self._leave(live, team)
--- a/bergamotthread/process/generations/generation_watch.py
+++ b/bergamotthread/process/generations/generation_watch.py
@@ -64,13 +64,13 @@
             return Lost('deadline passed')
         if live.awaits_output:
             return self._unfetched_loss(live, now_ms)
-        if self._peers.is_suspect(place.agent):
+        if self._peers.is_suspected(place.agent):
             return Lost('agent silent', is_silence=True)
         if not live.confirmed:
             return self._unconfirmed_loss(live, now_ms)
         if live.backlog > BACKLOG_TOKENS:
             live.progress.restart(now_ms)
-        elif live.admitted and live.progress.is_suspect(now_ms):
+        elif live.admitted and live.progress.is_suspected(now_ms):
             return self._stalled_loss(live, now_ms)
         return None
 
--- a/bergamotthread/request/relay/stream_relay.py
+++ b/bergamotthread/request/relay/stream_relay.py
@@ -191,7 +191,7 @@
     ) -> None:
         for event in splitter.feed(payload):
             self._forward(event)
-        await self._call.exchange.writable()
+        await self._call.exchange.wait_writable()
 
     async def _receive_next(self, attempt: Attempt) -> AnswerItem | None:
         """Return the next item of the response; None at the deadline.
--- a/bergamotthread/testing/memory_service.py
+++ b/bergamotthread/testing/memory_service.py
@@ -9,8 +9,8 @@
     ServiceAnswer,
     ServiceClient,
     ServiceLostError,
-    ServiceNotReachedError,
     ServiceRequest,
+    ServiceUnreachableError,
 )
 from bergamotthread.errors import Step
 from bergamotthread.wire.messages import FENCE_HEADER, KEY_HEADER
@@ -49,7 +49,7 @@
     async def call(self, request: ServiceRequest) -> ServiceAnswer:
         """Count a run of the key and answer after the delay."""
         if self.is_down:
-            raise ServiceNotReachedError('service is down', step=Step.DISPATCH)
+            raise ServiceUnreachableError('service is down', step=Step.DISPATCH)
         headers = dict(request.headers)
         key = headers.get(KEY_HEADER, '')
         fence = int(headers.get(FENCE_HEADER, '0'))
--- a/tests/test_http_service.py
+++ b/tests/test_http_service.py
@@ -8,8 +8,8 @@
 from bergamotthread.connection.http_service import HttpServiceClient
 from bergamotthread.connection.service_client import (
     ServiceLostError,
-    ServiceNotReachedError,
     ServiceRequest,
+    ServiceUnreachableError,
 )
 from standins.service import PlainService, ServiceFaults, create_app
 from standins.serving import serving
@@ -80,7 +80,7 @@
         await client.call(_request(remaining_ms=50))
     await client.close()
     listening.close()
-    with pytest.raises(ServiceNotReachedError):
+    with pytest.raises(ServiceUnreachableError):
         await client.call(_request())
 
 
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -12,7 +12,7 @@
 from bergamotthread.platform.headers import PLATFORM_DIALECT
 from bergamotthread.platform.manifest import decode_manifest
 from bergamotthread.platform.runner_rows import (
-    UNREAD_TOKENS,
+    TYPICAL_PROMPT_TOKENS,
     decode_report,
     decode_runner,
 )
@@ -169,9 +169,9 @@
     reading = _report(in_flight=2, kv_used=14_000, runs=running)
     assert reading.unread_tokens == 5000
     queued = _report(in_flight=1, kv_used=9000, runs=running, queue_depth=2)
-    assert queued.unread_tokens == 2 * UNREAD_TOKENS
+    assert queued.unread_tokens == 2 * TYPICAL_PROMPT_TOKENS
     with_copies = _report(in_flight=1, kv_used=60_000, handles=3)
-    assert with_copies.unread_tokens == UNREAD_TOKENS
+    assert with_copies.unread_tokens == TYPICAL_PROMPT_TOKENS
 
 
 def test_invalid_load_report_is_ignored():
--- a/tests/test_platform_entry.py
+++ b/tests/test_platform_entry.py
@@ -846,9 +846,13 @@
         await deployment.clock.sleep_ms(3000)
         client = deployment.entries[2]._store
         with pytest.raises(StoreCallError, match='direct: False'):
-            await client.follow('10.1.0.2:7001', 'servers', 10, 10, 5000)
+            await client.read_relayed_changes(
+                '10.1.0.2:7001', 'servers', 10, 10, 5000
+            )
         with pytest.raises(StoreCallError, match='ms old'):
-            await client.follow('10.1.0.3:7001', 'servers', 10, 10, -1)
+            await client.read_relayed_changes(
+                '10.1.0.3:7001', 'servers', 10, 10, -1
+            )
 
     run_in_memory(check())
 
