--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -80,7 +80,7 @@
     def record_loss(self, agent: str) -> None:
         """Avoid an agent until it is heard from again."""
         self.lost.add(agent)
-        self.load_view.forget(agent)
+        self.load_view.remove(agent)
 
 
 @dataclass
@@ -164,7 +164,7 @@
         """Return the holder of the longest prefix unless it is too busy."""
         agents = self.eligible(request)
         mean = sum(self.count(one) for one in agents) / len(agents)
-        holders = self.prefix_view.holders(request.prefix_hashes)
+        holders = self.prefix_view.longest_prefix_agents(request.prefix_hashes)
         free = [one for one in agents if one in holders]
         free = [one for one in free if self.count(one) <= LOAD_BOUND * mean + 1]
         if free:
@@ -175,7 +175,7 @@
     def record_load(self, agent: str, load: LoadReport) -> None:
         """Take in a load report that arrived now."""
         super().record_load(agent, load)
-        self.prefix_view.bound(agent, load.kv_capacity)
+        self.prefix_view.limit_to_cache(agent, load.kv_capacity)
         self.prefix_view.record(agent, load.cached_prefixes)
 
     def record_dispatch(self, agent: str, request: PlacementRequest) -> None:
@@ -186,13 +186,13 @@
     def record_loss(self, agent: str) -> None:
         """Avoid an agent and forget its cache."""
         super().record_loss(agent)
-        self.prefix_view.forget(agent)
+        self.prefix_view.remove(agent)
 
 
 class UnboundedPrefixView(PrefixView):
     """View that ignores how much an engine can cache."""
 
-    def bound(self, agent: str, kv_capacity: int) -> None:
+    def limit_to_cache(self, agent: str, kv_capacity: int) -> None:
         """Keep the fixed bound."""
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -222,7 +222,7 @@
 
     def _cancel(self, agent: Agent, key: tuple[str, int]) -> None:
         agent.gate.revoke(*key)
-        agent.gate.ended(*key)
+        agent.gate.record_end(*key)
         agent.engine.by_key.pop(key, None)
 
     def _resend(self, generation: Generation, delay_ms: float) -> None:
@@ -481,7 +481,7 @@
             self._abandoned(agent, sequence)
             return
         key = (job.generation, generation.attempt)
-        agent.gate.progress(*key, sequence.produced)
+        agent.gate.record_progress(*key, sequence.produced)
         if generation.poisonous and sequence.produced >= 2:
             self._kill(agent, 50)
             return
@@ -489,7 +489,7 @@
             self._received(generation, agent, sequence)
         if sequence.is_done:
             agent.engine.by_key.pop(key)
-            agent.gate.ended(*key)
+            agent.gate.record_end(*key)
             self._finish(generation)
 
     def _abandoned(self, agent: Agent, sequence: Sequence) -> None:
@@ -497,7 +497,7 @@
         if sequence.is_done:
             key = (sequence.job.generation, sequence.attempt)
             agent.engine.by_key.pop(key, None)
-            agent.gate.ended(*key)
+            agent.gate.record_end(*key)
 
     def _received(
         self,
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -44,7 +44,7 @@
         """Return all entries."""
         return self.entries
 
-    def reachable_share(self) -> float:
+    def reachable_fraction(self) -> float:
         """Return that all answer."""
         return 1
 
@@ -211,7 +211,7 @@
             share = 1 / self._entry_count - usage.floor
             usage.set_lease(share, float('inf'), now_ms)
             self._usage[rank, entry] = usage
-        admitted = usage.take(1, now_ms) is None
+        admitted = usage.try_start(1, now_ms) is None
         if admitted:
             usage.release(now_ms)
         return admitted
--- a/bergamotthread/process/agent.py
+++ b/bergamotthread/process/agent.py
@@ -19,9 +19,9 @@
 from bergamotthread.process.generations.output_flusher import OutputFlusher
 from bergamotthread.process.overload.admission import (
     AdmissionGate,
+    Duplicate,
     GateLimits,
     GateRules,
-    Known,
     Queued,
     Refused,
     Run,
@@ -187,11 +187,11 @@
         match self.gate.offer(dispatch):
             case Run():
                 self._start(dispatch, sender)
-            case Queued() | Known(dispatched=False):
+            case Queued() | Duplicate(dispatched=False):
                 self._waiting_by_key[key] = sender
                 waiting = Waiting(key.generation, key.attempt)
                 self._transport.send(sender, waiting)
-            case Known():
+            case Duplicate():
                 self._decline(key, sender, 'ended', 0)
             case Refused(reason=reason, retry_after_ms=retry_after_ms):
                 self._decline(key, sender, reason, retry_after_ms)
@@ -256,7 +256,7 @@
         buffer = self.attempts.buffers_by_key.get(key)
         if buffer is not None and buffer.subscriber == sender:
             self.attempts.drop(key)
-            self.gate.ended(key.generation, key.attempt)
+            self.gate.record_end(key.generation, key.attempt)
 
     def _on_revoke(self, key: AttemptKey, sender: str) -> None:
         never = self.gate.revoke(key.generation, key.attempt)
@@ -306,9 +306,9 @@
             key = AttemptKey.from_dispatch(buffer.dispatch)
             if buffer.end is None:
                 produced = len(buffer.tokens) - len(buffer.dispatch.accepted)
-                self.gate.progress(key.generation, key.attempt, produced)
+                self.gate.record_progress(key.generation, key.attempt, produced)
                 continue
-            self.gate.ended(key.generation, key.attempt)
+            self.gate.record_end(key.generation, key.attempt)
             if buffer.end.reason is EndReason.ENGINE_LOST:
                 self.engine_is_up = False
 
--- a/bergamotthread/process/entry_control.py
+++ b/bergamotthread/process/entry_control.py
@@ -12,7 +12,7 @@
 from bergamotthread.process.orders.orders import (
     OrderListener,
     RegionOrders,
-    WeightRate,
+    WeightStoreRate,
 )
 from bergamotthread.process.orders.region_lease import RegionLease
 from bergamotthread.process.routing.agent_roster import AgentRoster
@@ -98,7 +98,7 @@
             clock,
             place.region,
             self.lease,
-            WeightRate(),
+            WeightStoreRate(),
             sources.demand,
             sources.on_order,
         )
@@ -149,4 +149,4 @@
     def _on_member(self, member: Member) -> None:
         self._subset_by_model.clear()
         if member.address == self._place.address:
-            self.limits.note_doubted()
+            self.limits.record_suspected()
--- a/bergamotthread/process/entry_process.py
+++ b/bergamotthread/process/entry_process.py
@@ -185,7 +185,7 @@
                 hosts=self._store.hosts(),
                 peers=settings.peers,
                 config_version=self._version,
-                demand=self.demand.per_s,
+                demand=self.demand.requests_per_s,
                 on_order=OrderAudit(
                     self.audit,
                     self.transport.address,
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -19,7 +19,7 @@
     Wait,
 )
 from bergamotthread.process.generations.generation_watch import GenerationLimits
-from bergamotthread.process.membership.loss_probe import LossProbe
+from bergamotthread.process.membership.loss_probe import LostAgentProber
 from bergamotthread.process.routing.placement import Placement, PlacementRequest
 from bergamotthread.request.generation import AttemptPlace
 from bergamotthread.request.generation_refusal import (
@@ -65,7 +65,7 @@
     guards: GenerationGuards
     metrics: EntryMetrics
     peers: PeerHistories
-    probe: LossProbe
+    probe: LostAgentProber
     trace: DecisionTrace
 
 
--- a/bergamotthread/process/generations/generations.py
+++ b/bergamotthread/process/generations/generations.py
@@ -23,7 +23,7 @@
     GenerationLimits,
     GenerationWatch,
 )
-from bergamotthread.process.membership.loss_probe import LossProbe
+from bergamotthread.process.membership.loss_probe import LostAgentProber
 from bergamotthread.process.membership.observers import Observers
 from bergamotthread.process.routing.placement import Placement
 from bergamotthread.process.routing.standby import Standbys
@@ -86,7 +86,7 @@
         self._placement = placement
         self._clock = clock
         self._peers = PeerHistories(clock)
-        self._probe = LossProbe(transport, clock)
+        self._probe = LostAgentProber(transport, clock)
         parts = DriverParts(
             transport,
             placement,
--- a/bergamotthread/process/membership/gossip_sender.py
+++ b/bergamotthread/process/membership/gossip_sender.py
@@ -24,7 +24,7 @@
 BURST_BYTES = 8192
 MESSAGE_BYTES = 100
 RECORDS_PER_MESSAGE = 16
-REFRESHED_RECORDS = 2
+ROTATED_RECORDS = 2
 
 
 class GossipSender:
@@ -90,7 +90,7 @@
     def _records_for(self, peer: str) -> tuple[Member, ...]:
         """Return the records of one message, empty if it may not be sent."""
         now_ms = self._clock.now_ms()
-        required = self._required(peer)
+        required = self._required_records(peer)
         byte_count = MESSAGE_BYTES + sum(map(record_bytes, required))
         if not self._budget.try_spend(byte_count, now_ms):
             self.unsent += 1
@@ -103,20 +103,20 @@
         self._budget.try_spend(sum(map(record_bytes, changes)), now_ms)
         refreshed = [
             member
-            for member in self._refreshed()
+            for member in self._rotated_records()
             if self._budget.try_spend(record_bytes(member), now_ms)
         ]
         return (*required, *changes, *refreshed)
 
-    def _required(self, peer: str) -> tuple[Member, ...]:
+    def _required_records(self, peer: str) -> tuple[Member, ...]:
         own = self._table.own
         member = self._table.get(peer)
         if member is None or member.state is MemberState.ALIVE:
             return (own,)
         return (own, member)
 
-    def _refreshed(self) -> tuple[Member, ...]:
-        if len(self._rotation) < REFRESHED_RECORDS:
+    def _rotated_records(self) -> tuple[Member, ...]:
+        if len(self._rotation) < ROTATED_RECORDS:
             self._rotation = [
                 member.address
                 for member in self._table.others()
@@ -124,5 +124,5 @@
             ]
         return tuple(
             self._table.get(self._rotation.pop()) or self._table.own
-            for _ in range(min(REFRESHED_RECORDS, len(self._rotation)))
+            for _ in range(min(ROTATED_RECORDS, len(self._rotation)))
         )
--- a/bergamotthread/process/membership/host_watch.py
+++ b/bergamotthread/process/membership/host_watch.py
@@ -12,7 +12,7 @@
 from bergamotthread.wire.messages import DrainNotice
 
 READER_INTERVAL_MS = 1000
-OTHER_INTERVAL_MS = 10_000
+NON_READER_INTERVAL_MS = 10_000
 READERS_PER_REGION = 3
 LEAVING_DEADLINE_MS = 60_000
 
@@ -68,7 +68,7 @@
         )
         if self._transport.address in readers:
             return READER_INTERVAL_MS
-        return OTHER_INTERVAL_MS
+        return NON_READER_INTERVAL_MS
 
     async def run(self) -> None:
         """Poll the list until cancelled."""
--- a/bergamotthread/process/membership/loss_probe.py
+++ b/bergamotthread/process/membership/loss_probe.py
@@ -19,7 +19,7 @@
     next_ms: float
 
 
-class LossProbe:
+class LostAgentProber:
     """Probes lost agents with exponential backoff.
 
     A probe is an empty acknowledgement, which an agent answers with its load
--- a/bergamotthread/process/membership/member_table.py
+++ b/bergamotthread/process/membership/member_table.py
@@ -6,8 +6,8 @@
 
 from bergamotthread.wire.messages import Member, MemberState
 
-SUSPICION_MS = 40_000
-TOMBSTONE_MS = 600_000
+SUSPICION_TIMEOUT_MS = 40_000
+TOMBSTONE_RETENTION_MS = 600_000
 REFUTATION_BITS = 16
 
 _RANK_BY_STATE = {
@@ -58,27 +58,29 @@
         Time from suspicion to removal, in milliseconds.
     """
 
-    def __init__(self, own: Member, suspicion_ms: float = SUSPICION_MS) -> None:
+    def __init__(
+        self, own: Member, suspicion_timeout_ms: float = SUSPICION_TIMEOUT_MS
+    ) -> None:
         self.own = own
-        self._suspicion_ms = suspicion_ms
-        self._known_by_address: dict[str, _Known] = {}
+        self._suspicion_timeout_ms = suspicion_timeout_ms
+        self._record_by_address: dict[str, _Known] = {}
 
     @property
     def count(self) -> int:
         """Return the number of records, including the own one."""
-        return len(self._known_by_address) + 1
+        return len(self._record_by_address) + 1
 
     def get(self, address: str) -> Member | None:
         """Return the record of an address, or None if it is unknown."""
         if address == self.own.address:
             return self.own
-        record = self._known_by_address.get(address)
+        record = self._record_by_address.get(address)
         return record.member if record else None
 
     def others(self) -> tuple[Member, ...]:
         """Return the records of all other members, including dead ones."""
         return tuple(
-            record.member for record in self._known_by_address.values()
+            record.member for record in self._record_by_address.values()
         )
 
     def add_listed(self, member: Member, now_ms: float) -> bool:
@@ -87,28 +89,28 @@
         A removed member that is still listed stays removed until it is heard
         from.
         """
-        record = self._known_by_address.get(member.address)
+        record = self._record_by_address.get(member.address)
         if record is not None and record.member.state is MemberState.DEAD:
             record.doubted_ms = now_ms
         if self.get(member.address) is not None:
             return False
-        self._known_by_address[member.address] = _Known(member)
+        self._record_by_address[member.address] = _Known(member)
         return True
 
     def merge(self, member: Member, now_ms: float) -> Member | None:
         """Merge a record that another process sent."""
         if member.address == self.own.address:
             return self._refute(member)
-        record = self._known_by_address.get(member.address)
+        record = self._record_by_address.get(member.address)
         if record is not None and not _replaces(member, record.member):
             return None
         if record is None and member.state is MemberState.DEAD:
             return None
         return self._put(member, now_ms)
 
-    def note_heard(self, address: str, now_ms: float) -> None:
+    def record_heard(self, address: str, now_ms: float) -> None:
         """Restart or stop the removal timer of a member just heard from."""
-        record = self._known_by_address.get(address)
+        record = self._record_by_address.get(address)
         if record is None or record.doubted_ms is None:
             return
         match record.member.state:
@@ -119,7 +121,7 @@
 
     def suspect(self, address: str, now_ms: float) -> Member | None:
         """Mark a member that didn't answer as suspected."""
-        record = self._known_by_address.get(address)
+        record = self._record_by_address.get(address)
         if record is None:
             return None
         match record.member.state:
@@ -138,21 +140,21 @@
     def expire(self, now_ms: float) -> tuple[Member, ...]:
         """Remove members whose timer has run out, and evict old tombstones."""
         removed = []
-        for address, record in tuple(self._known_by_address.items()):
+        for address, record in tuple(self._record_by_address.items()):
             if record.doubted_ms is None:
                 continue
             elapsed_ms = now_ms - record.doubted_ms
             if record.member.state is MemberState.DEAD:
-                if elapsed_ms >= TOMBSTONE_MS:
-                    self._known_by_address.pop(address)
-            elif elapsed_ms >= self._suspicion_ms:
+                if elapsed_ms >= TOMBSTONE_RETENTION_MS:
+                    self._record_by_address.pop(address)
+            elif elapsed_ms >= self._suspicion_timeout_ms:
                 member = _with_state(record.member, MemberState.DEAD)
                 removed.append(self._put(member, now_ms))
         return tuple(removed)
 
-    def postpone(self, pause_ms: float) -> None:
+    def extend_timers(self, pause_ms: float) -> None:
         """Extend all timers by the time that this process was paused."""
-        for record in self._known_by_address.values():
+        for record in self._record_by_address.values():
             if record.doubted_ms is not None:
                 record.doubted_ms += pause_ms
 
@@ -162,7 +164,7 @@
             MemberState.DEAD,
         }
         doubted_ms = now_ms if is_unresponsive else None
-        self._known_by_address[member.address] = _Known(member, doubted_ms)
+        self._record_by_address[member.address] = _Known(member, doubted_ms)
         return member
 
     def _refute(self, member: Member) -> Member | None:
--- a/bergamotthread/process/membership/membership.py
+++ b/bergamotthread/process/membership/membership.py
@@ -41,10 +41,10 @@
 SEED_INTERVAL_MS = 5000
 JOIN_INTERVAL_MS = 250
 # Ticks that are this far apart mean that the process was paused.
-PAUSE_MS = 2000
+PAUSE_DETECTION_MS = 2000
 INDIRECT_PROBES = 3
 # Assumed before the host list has been read.
-UNKNOWN_SHARE = 0.1
+UNKNOWN_REACHABLE_FRACTION = 0.1
 
 MemberListener = Callable[[Member], None]
 VersionListener = Callable[[str, int], None]
@@ -103,8 +103,8 @@
         self._sender = GossipSender(
             transport, clock, self.table, config_version
         )
-        self._source = random.Random(f'{place.address}/{transport.incarnation}')
-        self._prober = Prober(self._source)
+        self._rng = random.Random(f'{place.address}/{transport.incarnation}')
+        self._prober = Prober(self._rng)
         self._seeds = dict.fromkeys(peers)
         self._peers = frozenset(peers)
         self._listed: frozenset[str] | None = None if hosts else frozenset()
@@ -163,14 +163,14 @@
             and member.region == self.table.own.region
         )
 
-    def reachable_share(self) -> float:
+    def reachable_fraction(self) -> float:
         """Return the fraction of known and listed entries that respond.
 
         Small until the host list has been read once, since a process that has
         just started doesn't know how many other entries there are.
         """
         if self._listed is None:
-            return UNKNOWN_SHARE
+            return UNKNOWN_REACHABLE_FRACTION
         responsive = frozenset(self.responsive_entries())
         all_entries = responsive.union(
             self.live_entries(), self._listed, self._peers
@@ -189,9 +189,9 @@
         """Handle a membership message; other messages are ignored."""
         match envelope.message:
             case Probe() | ProbeReply() if self._is_current(envelope):
-                self._take_in(envelope, envelope.message)
+                self._apply_message(envelope, envelope.message)
             case ProbeRequest(sequence=sequence, target=target):
-                self._relay(envelope.sender, sequence, target)
+                self._probe_for(envelope.sender, sequence, target)
 
     def apply_hosts(self, hosts: tuple[HostEntry, ...]) -> None:
         """Use the platform's host list as seeds."""
@@ -209,37 +209,37 @@
 
         Entries of the region are notified at once, others by gossip.
         """
-        self._change(self.table.leave())
+        self._propagate(self.table.leave())
         for address in self.region_entries():
-            self._sender.send_probe(address, self._prober.unwatched())
+            self._sender.send_probe(address, self._prober.untracked_sequence())
 
     async def run(self) -> None:
         """Probe and expire members, and poll the host list, until cancelled."""
         async with asyncio.TaskGroup() as group:
             if self.host_watch is not None:
                 group.create_task(self.host_watch.run())
-            group.create_task(self._tick_for_ever())
+            group.create_task(self._run_ticks())
 
     def tick(self) -> None:
         """Send the probes and apply the timeouts that are due."""
         now_ms = self._clock.now_ms()
         gap_ms = now_ms - self._due.ticked_ms
         self._due.ticked_ms = now_ms
-        if gap_ms >= PAUSE_MS:
+        if gap_ms >= PAUSE_DETECTION_MS:
             self._recover_from_pause(gap_ms)
         self._probe_indirectly(now_ms)
         self._suspect_failed(now_ms)
         for member in self.table.expire(now_ms):
             self.counters.removals += 1
-            self._change(member)
+            self._propagate(member)
         if now_ms >= self._due.probe_ms:
             self._due.probe_ms = now_ms + PROBE_INTERVAL_MS
             self._probe_next(now_ms)
         if now_ms >= self._due.seed_ms:
             self._probe_seed(now_ms)
 
-    async def _tick_for_ever(self) -> None:
-        await self._clock.sleep_ms(self._source.random() * PROBE_INTERVAL_MS)
+    async def _run_ticks(self) -> None:
+        await self._clock.sleep_ms(self._rng.random() * PROBE_INTERVAL_MS)
         self._due.ticked_ms = self._clock.now_ms()
         while True:
             self.tick()
@@ -253,13 +253,15 @@
             return True
         return envelope.incarnation >= process_incarnation(member.incarnation)
 
-    def _take_in(self, envelope: Envelope, message: Probe | ProbeReply) -> None:
+    def _apply_message(
+        self, envelope: Envelope, message: Probe | ProbeReply
+    ) -> None:
         now_ms = self._clock.now_ms()
-        self.table.note_heard(envelope.sender, now_ms)
+        self.table.record_heard(envelope.sender, now_ms)
         for member in message.members:
             merged = self.table.merge(member, now_ms)
             if merged is not None:
-                self._change(merged)
+                self._propagate(merged)
         for listener in self._version_listeners:
             listener(envelope.sender, message.config_version)
         match message:
@@ -269,14 +271,14 @@
                 self._end_probe(sequence, now_ms)
 
     def _end_probe(self, sequence: int, now_ms: float) -> None:
-        target = self._prober.answered(sequence)
+        target = self._prober.end_probe(sequence)
         if target is not None:
-            self.table.note_heard(target, now_ms)
-        relayed = self._prober.answered_relay(sequence)
+            self.table.record_heard(target, now_ms)
+        relayed = self._prober.end_relay(sequence)
         if relayed is not None:
             self._sender.send_reply(*relayed)
 
-    def _relay(self, requester: str, sequence: int, target: str) -> None:
+    def _probe_for(self, requester: str, sequence: int, target: str) -> None:
         number = self._prober.start_relay(
             requester, sequence, target, self._clock.now_ms()
         )
@@ -300,7 +302,7 @@
         elif host.leaving:
             merged = self.table.merge(listed_member, now_ms)
             if merged is not None:
-                self._change(merged)
+                self._propagate(merged)
 
     def _probe_next(self, now_ms: float) -> None:
         own = self.table.own.address
@@ -320,11 +322,11 @@
             seed for seed in self._seeds if seed not in live and seed != own
         ]
         if seeds:
-            seed = self._source.choice(seeds)
-            self._sender.send_probe(seed, self._prober.unwatched())
+            seed = self._rng.choice(seeds)
+            self._sender.send_probe(seed, self._prober.untracked_sequence())
 
     def _probe_indirectly(self, now_ms: float) -> None:
-        due = self._prober.take_indirect(now_ms)
+        due = self._prober.take_indirect_due(now_ms)
         if not due:
             return
         responsive = [
@@ -335,23 +337,23 @@
         for sequence, target in due:
             helpers = [address for address in responsive if address != target]
             count = min(INDIRECT_PROBES, len(helpers))
-            for helper in self._source.sample(helpers, count):
+            for helper in self._rng.sample(helpers, count):
                 self._sender.send_request(helper, sequence, target)
             self._sender.send_probe(target, sequence)
 
     def _suspect_failed(self, now_ms: float) -> None:
-        for target in self._prober.take_failed(now_ms):
+        for target in self._prober.take_timed_out(now_ms):
             suspected = self.table.suspect(target, now_ms)
             if suspected is not None:
                 self.counters.suspicions += 1
-                self._change(suspected)
+                self._propagate(suspected)
 
     def _recover_from_pause(self, gap_ms: float) -> None:
         self.counters.pauses += 1
-        self._prober.forget()
-        self.table.postpone(gap_ms)
+        self._prober.clear()
+        self.table.extend_timers(gap_ms)
 
-    def _change(self, member: Member) -> None:
+    def _propagate(self, member: Member) -> None:
         self._sender.push(member)
         self._notify(member)
 
--- a/bergamotthread/process/membership/prober.py
+++ b/bergamotthread/process/membership/prober.py
@@ -6,9 +6,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-INDIRECT_AFTER_MS = 500
+INDIRECT_PROBE_AFTER_MS = 500
 INDIRECT_INTERVAL_MS = 1000
-FAILED_AFTER_MS = 2500
+PROBE_TIMEOUT_MS = 2500
 RELAY_TIMEOUT_MS = 1000
 
 
@@ -36,8 +36,8 @@
         Source of randomness for the order.
     """
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._order: list[str] = []
         self._sequence = 0
         self._pending_by_sequence: dict[int, _Pending] = {}
@@ -53,14 +53,14 @@
         if not addresses:
             return None
         self._order = list(addresses)
-        self._source.shuffle(self._order)
+        self._rng.shuffle(self._order)
         return self._order.pop()
 
     def start(self, target: str, now_ms: float) -> int:
         """Return the sequence number of a new probe of `target`."""
         self._sequence += 1
         self._pending_by_sequence[self._sequence] = _Pending(
-            target, now_ms, now_ms + INDIRECT_AFTER_MS
+            target, now_ms, now_ms + INDIRECT_PROBE_AFTER_MS
         )
         return self._sequence
 
@@ -77,22 +77,22 @@
         self._relayed_by_sequence[self._sequence] = relayed
         return self._sequence
 
-    def unwatched(self) -> int:
+    def untracked_sequence(self) -> int:
         """Return the sequence number of a probe without a timeout."""
         self._sequence += 1
         return self._sequence
 
-    def answered(self, sequence: int) -> str | None:
+    def end_probe(self, sequence: int) -> str | None:
         """End a probe that was answered, and return its target."""
         pending = self._pending_by_sequence.pop(sequence, None)
         return pending.target if pending else None
 
-    def answered_relay(self, sequence: int) -> tuple[str, int] | None:
+    def end_relay(self, sequence: int) -> tuple[str, int] | None:
         """End a probe for another member; return that and its number."""
         relayed = self._relayed_by_sequence.pop(sequence, None)
         return (relayed.requester, relayed.sequence) if relayed else None
 
-    def take_indirect(self, now_ms: float) -> tuple[tuple[int, str], ...]:
+    def take_indirect_due(self, now_ms: float) -> tuple[tuple[int, str], ...]:
         """Return number and target of the probes to repeat through others."""
         due = []
         for sequence, pending in self._pending_by_sequence.items():
@@ -101,11 +101,11 @@
                 due.append((sequence, pending.target))
         return tuple(due)
 
-    def take_failed(self, now_ms: float) -> tuple[str, ...]:
+    def take_timed_out(self, now_ms: float) -> tuple[str, ...]:
         """Return the targets of probes that timed out."""
         failed = []
         for sequence, pending in tuple(self._pending_by_sequence.items()):
-            if now_ms - pending.sent_ms >= FAILED_AFTER_MS:
+            if now_ms - pending.sent_ms >= PROBE_TIMEOUT_MS:
                 self._pending_by_sequence.pop(sequence)
                 failed.append(pending.target)
         for number, relayed in tuple(self._relayed_by_sequence.items()):
@@ -113,7 +113,7 @@
                 self._relayed_by_sequence.pop(number)
         return tuple(failed)
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Discard all probes in flight."""
         self._pending_by_sequence.clear()
         self._relayed_by_sequence.clear()
--- a/bergamotthread/process/orders/engine_orders.py
+++ b/bergamotthread/process/orders/engine_orders.py
@@ -66,5 +66,5 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _answer(self, sender: str, order: Order) -> None:
-        reply = await self._gate.carry_out(order)
+        reply = await self._gate.handle_order(order)
         self._transport.send(sender, reply)
--- a/bergamotthread/process/orders/order_gate.py
+++ b/bergamotthread/process/orders/order_gate.py
@@ -57,7 +57,7 @@
         self._last_reply = OrderReply('', 0, accepted=False)
         self._lock = asyncio.Lock()
 
-    async def carry_out(self, order: Order) -> OrderReply:
+    async def handle_order(self, order: Order) -> OrderReply:
         """Execute or refuse an order; orders are handled one at a time."""
         async with self._lock:
             stamp = (order.fence, order.number)
--- a/bergamotthread/process/orders/orders.py
+++ b/bergamotthread/process/orders/orders.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class WeightRate:
+class WeightStoreRate:
     """Rate limit of one region for loads from the weight store, in bytes."""
 
     bytes_per_s: float = 2_000_000_000
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class _Sent:
+class _PendingOrder:
     order: PlannedOrder
     name: str
     sent_ms: float
@@ -155,7 +155,7 @@
         clock: Clock,
         region: str,
         lease: RegionLease,
-        rate: WeightRate,
+        rate: WeightStoreRate,
         demand: Callable[[], Mapping[Pin, float]],
         on_order: OrderListener | None = None,
     ) -> None:
@@ -165,7 +165,7 @@
         self._lease = lease
         self._demand = demand
         self._on_order = on_order
-        self._weights = ByteBudget(
+        self._load_budget = ByteBudget(
             rate.bytes_per_s, rate.burst_bytes, clock.now_ms()
         )
         self._upstreams: tuple[Upstream, ...] = ()
@@ -173,7 +173,7 @@
         self._fence = 0
         self._number = 0
         self._loaded_by_agent: dict[str, frozenset[Pin]] = {}
-        self._sent_by_agent: dict[str, _Sent] = {}
+        self._sent_by_agent: dict[str, _PendingOrder] = {}
 
     def apply_version(self, version: PublishedVersion) -> None:
         """Apply a published version."""
@@ -192,11 +192,11 @@
 
     def tick(self) -> None:
         """Send the orders that are due, if the lease is held."""
-        if not self._lease.valid():
+        if not self._lease.is_valid():
             return
         if self._lease.fence != self._fence:
-            self._start_over()
-        self._drop_unanswered()
+            self._reset_term()
+        self._expire_unanswered()
         due = plan_orders(
             self._upstreams,
             self._models_by_name,
@@ -216,13 +216,13 @@
             case OrderReply(fence=fence) if fence > self._lease.fence:
                 self._lease.give_up()
 
-    def _start_over(self) -> None:
+    def _reset_term(self) -> None:
         """Discard the state of an earlier term; agents report it again."""
         self._fence = self._lease.fence
         self._loaded_by_agent.clear()
         self._sent_by_agent.clear()
 
-    def _drop_unanswered(self) -> None:
+    def _expire_unanswered(self) -> None:
         now_ms = self._clock.now_ms()
         for agent, sent in tuple(self._sent_by_agent.items()):
             if now_ms - sent.sent_ms >= REPLY_TIMEOUT_MS:
@@ -230,7 +230,7 @@
 
     def _send(self, order: PlannedOrder) -> bool:
         now_ms = self._clock.now_ms()
-        if not self._weights.try_spend(order.load_bytes, now_ms):
+        if not self._load_budget.try_spend(order.load_bytes, now_ms):
             return False
         self._number += 1
         message = Order(
@@ -241,12 +241,14 @@
             region=self._region,
             number=self._number,
         )
-        if not self._lease.valid():
+        if not self._lease.is_valid():
             return False
         self._transport.send(order.agent, message)
         if self._on_order is not None:
             self._on_order(order.agent, message)
-        self._sent_by_agent[order.agent] = _Sent(order, message.order, now_ms)
+        self._sent_by_agent[order.agent] = _PendingOrder(
+            order, message.order, now_ms
+        )
         return True
 
     def _apply_reply(self, agent: str, reply: OrderReply) -> None:
--- a/bergamotthread/process/orders/region_lease.py
+++ b/bergamotthread/process/orders/region_lease.py
@@ -14,7 +14,7 @@
 KEY_PREFIX = 'lease/orders/'
 LEASE_MS = 15_000
 TAKE_OVER_MARGIN_MS = 5000
-RENEW_MS = 5000
+RENEW_INTERVAL_MS = 5000
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class _Seen:
+class _SeenRevision:
     revision: int
     since_ms: float
 
@@ -83,9 +83,9 @@
         self._attempts = 0
         self._attempt_sent_ms: dict[str, float] = {}
         self._valid_until_ms = float(0)
-        self._seen: _Seen | None = None
+        self._seen: _SeenRevision | None = None
 
-    def valid(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether this process holds the lease now."""
         return self.fence > 0 and self._clock.now_ms() < self._valid_until_ms
 
@@ -96,9 +96,9 @@
     async def run(self, is_candidate: Callable[[], bool]) -> None:
         """Renew or watch the lease until cancelled."""
         while True:
-            if is_candidate() or self.valid():
+            if is_candidate() or self.is_valid():
                 await self.step()
-            await self._clock.sleep_ms(RENEW_MS)
+            await self._clock.sleep_ms(RENEW_INTERVAL_MS)
 
     async def step(self) -> None:
         """Read the row once, and renew or take over the lease if due."""
@@ -115,24 +115,24 @@
         if row is None or lease is None:
             await self._write(expected=0, fence=1)
             return
-        self._recognise(row, lease)
-        if self.valid() and lease.fence == self.fence:
+        self._detect_own_write(row, lease)
+        if self.is_valid() and lease.fence == self.fence:
             await self._write(expected=row.revision, fence=self.fence)
-        elif self._is_lapsed(row):
+        elif self._is_expired(row):
             await self._write(expected=row.revision, fence=lease.fence + 1)
 
-    def _recognise(self, row: Row, lease: LeaseRow) -> None:
+    def _detect_own_write(self, row: Row, lease: LeaseRow) -> None:
         """Detect an own write whose reply was lost, and changes of the row."""
         sent_ms = self._attempt_sent_ms.get(lease.attempt)
         if sent_ms is not None and lease.fence >= self.fence:
-            self._hold(lease.fence, sent_ms)
+            self._set_held(lease.fence, sent_ms)
         elif lease.fence > self.fence:
             self.give_up()
         now_ms = self._clock.now_ms()
         if self._seen is None or self._seen.revision != row.revision:
-            self._seen = _Seen(row.revision, now_ms)
+            self._seen = _SeenRevision(row.revision, now_ms)
 
-    def _is_lapsed(self, row: Row) -> bool:
+    def _is_expired(self, row: Row) -> bool:
         seen = self._seen
         if seen is None or seen.revision != row.revision:
             return False
@@ -146,9 +146,9 @@
         self._attempt_sent_ms = {attempt: sent_ms}
         body = msgspec.json.encode(LeaseRow(self._holder, fence, attempt))
         row = await self._table.write(self._key, body, expected=expected)
-        self._seen = _Seen(row.revision, sent_ms)
-        self._hold(fence, sent_ms)
+        self._seen = _SeenRevision(row.revision, sent_ms)
+        self._set_held(fence, sent_ms)
 
-    def _hold(self, fence: int, sent_ms: float) -> None:
+    def _set_held(self, fence: int, sent_ms: float) -> None:
         self.fence = fence
         self._valid_until_ms = max(self._valid_until_ms, sent_ms + LEASE_MS)
--- a/bergamotthread/process/overload/admission.py
+++ b/bergamotthread/process/overload/admission.py
@@ -24,7 +24,7 @@
 CHARS_PER_TOKEN = 4
 # In prefill tokens.
 OUTPUT_TOKEN_COST = 40
-DECIDED_MAX = 4096
+REMEMBERED_DECISIONS_MAX = 4096
 # Prefill limit of resumed attempts, as a multiple of that of new work;
 # benchmarks.routing (scattered loss) compares 1, 2 and 3.
 RESUMED_PREFILL_FACTOR = 2
@@ -84,11 +84,11 @@
     """The dispatch waits; a later call of `next_ready` returns it."""
 
     ahead: int
-    expected_ms: float
+    expected_wait_ms: float
 
 
 @dataclass(frozen=True)
-class Known:
+class Duplicate:
     """The attempt was offered before; the message is a duplicate."""
 
     dispatched: bool
@@ -104,7 +104,7 @@
     retry_after_ms: int = 0
 
 
-Decision = Run | Queued | Known | Refused
+Decision = Run | Queued | Duplicate | Refused
 
 
 def _characters_to_tokens(text: str) -> int:
@@ -165,24 +165,24 @@
         """Decide on a dispatch that has just arrived."""
         key = AttemptKey.from_dispatch(dispatch)
         if self._dispatched_by_key.get(key):
-            return Known(dispatched=True)
-        if self._queued(key) is not None:
-            return Known(dispatched=False)
-        self._see_team(dispatch.team)
+            return Duplicate(dispatched=True)
+        if self._find_queued(key) is not None:
+            return Duplicate(dispatched=False)
+        self._record_team(dispatch.team)
         reason = self._early_refusal(dispatch)
         if reason is not None:
             return self._refuse(dispatch, reason)
-        return self._decide(self._place(dispatch))
+        return self._decide(self._prepare(dispatch))
 
     def next_ready(self) -> tuple[Dispatch, ...]:
         """Return the dispatches to start now, with their capacity reserved."""
         self._drop_expired()
         started: list[Dispatch] = []
-        queued = self._startable()
+        queued = self._next_startable()
         while queued is not None:
             self._start(queued)
             started.append(queued.dispatch)
-            queued = self._startable()
+            queued = self._next_startable()
         return tuple(started)
 
     def take_refused(self) -> tuple[Refused, ...]:
@@ -191,23 +191,25 @@
         self._refused.clear()
         return refused
 
-    def started(self, generation: str, attempt: int) -> None:
+    def record_start(self, generation: str, attempt: int) -> None:
         """Record that the dispatch of an attempt was sent just now."""
         running = self.running.by_key.get(AttemptKey(generation, attempt))
         if running is not None:
             running.started_ms = self.clock.now_ms()
 
-    def first_token(self, generation: str, attempt: int) -> None:
+    def record_first_token(self, generation: str, attempt: int) -> None:
         """Record that the prefill of an attempt has finished."""
-        self.progress(generation, attempt, 1)
+        self.record_progress(generation, attempt, 1)
 
-    def progress(self, generation: str, attempt: int, produced: int) -> None:
+    def record_progress(
+        self, generation: str, attempt: int, produced: int
+    ) -> None:
         """Record the total number of tokens that an attempt has produced."""
         running = self.running.by_key.get(AttemptKey(generation, attempt))
         if running is not None:
             self.running.record_tokens(running, produced, self.clock.now_ms())
 
-    def ended(self, generation: str, attempt: int) -> None:
+    def record_end(self, generation: str, attempt: int) -> None:
         """Release the capacity of an attempt."""
         self.running.end(AttemptKey(generation, attempt), self.clock.now_ms())
 
@@ -221,10 +223,10 @@
             already returned to be started.
         """
         key = AttemptKey(generation, attempt)
-        queued = self._queued(key)
+        queued = self._find_queued(key)
         if queued is not None:
             self._queue.remove(queued)
-        self._remember(key, dispatched=False)
+        self._record_decision(key, dispatched=False)
         return not self._dispatched_by_key[key]
 
     def drain(self, *, draining: bool) -> None:
@@ -232,7 +234,7 @@
         self.draining = draining
         if draining:
             for queued in self._queue.waiting:
-                self._give_up(queued, ReasonCode.DRAINING)
+                self._refuse_queued(queued, ReasonCode.DRAINING)
 
     def load_report(self) -> LoadReport:
         """Return the current load; tokens of queued work are included."""
@@ -257,10 +259,10 @@
         now_ms = self.clock.now_ms()
         if now_ms + wait_ms >= queued.deadline_ms:
             return self._refuse(queued.dispatch, ReasonCode.DEADLINE)
-        if not queued.is_resumption and wait_ms > self.limits.queue_wait_ms:
+        if not queued.has_priority and wait_ms > self.limits.queue_wait_ms:
             return self._refuse(queued.dispatch, ReasonCode.OVERLOADED)
         self._queue.push(queued)
-        if self._startable() == queued:
+        if self._next_startable() == queued:
             self._start(queued)
             return Run(queued.dispatch)
         if len(self._queue) > self.limits.max_queued:
@@ -272,7 +274,7 @@
         if victim == queued:
             self._queue.remove(queued)
             return self._refuse(queued.dispatch, ReasonCode.OVERLOADED)
-        self._give_up(victim, ReasonCode.OVERLOADED)
+        self._refuse_queued(victim, ReasonCode.OVERLOADED)
         return Queued(self._queue.ahead_of(queued), wait_ms)
 
     def _early_refusal(self, dispatch: Dispatch) -> ReasonCode | None:
@@ -287,7 +289,9 @@
         return None
 
     def _refuse(self, dispatch: Dispatch, reason: ReasonCode) -> Refused:
-        self._remember(AttemptKey.from_dispatch(dispatch), dispatched=False)
+        self._record_decision(
+            AttemptKey.from_dispatch(dispatch), dispatched=False
+        )
         retry_after_ms = 0
         if reason is ReasonCode.OVERLOADED:
             retry_after_ms = self._retry_after_ms(dispatch)
@@ -298,7 +302,9 @@
             retry_after_ms,
         )
 
-    def _give_up(self, queued: QueuedDispatch, reason: ReasonCode) -> None:
+    def _refuse_queued(
+        self, queued: QueuedDispatch, reason: ReasonCode
+    ) -> None:
         self._queue.remove(queued)
         self._refused.append(self._refuse(queued.dispatch, reason))
 
@@ -306,9 +312,9 @@
         now_ms = self.clock.now_ms()
         for queued in self._queue.waiting:
             if queued.deadline_ms <= now_ms:
-                self._give_up(queued, ReasonCode.DEADLINE)
+                self._refuse_queued(queued, ReasonCode.DEADLINE)
 
-    def _startable(self) -> QueuedDispatch | None:
+    def _next_startable(self) -> QueuedDispatch | None:
         """Return the first queued dispatch that may start now.
 
         If it doesn't fit, none behind it starts, not even a smaller one.
@@ -329,7 +335,7 @@
     def _must_wait(self, queued: QueuedDispatch, running: int) -> bool:
         if queued.dispatch.suspect and self.running.suspects:
             return True
-        if queued.is_resumption or running == 0:
+        if queued.has_priority or running == 0:
             return False
         if len(self._seen_ms_by_team) < 2:
             return False
@@ -341,7 +347,7 @@
         running_prefill = self.running.prefill_tokens
         total_prefill = running_prefill + self._prefill_tokens(dispatch)
         prefill_max = self.limits.prefill_tokens
-        if queued.is_resumption:
+        if queued.has_priority:
             prefill_max *= RESUMED_PREFILL_FACTOR
         if running_prefill and total_prefill > prefill_max:
             return False
@@ -353,7 +359,9 @@
     def _start(self, queued: QueuedDispatch) -> None:
         dispatch = queued.dispatch
         self._queue.start(queued)
-        self._remember(AttemptKey.from_dispatch(dispatch), dispatched=True)
+        self._record_decision(
+            AttemptKey.from_dispatch(dispatch), dispatched=True
+        )
         self.running.by_key[AttemptKey.from_dispatch(dispatch)] = (
             RunningAttempt(
                 dispatch=dispatch,
@@ -364,22 +372,22 @@
             )
         )
 
-    def _remember(self, key: AttemptKey, *, dispatched: bool) -> None:
+    def _record_decision(self, key: AttemptKey, *, dispatched: bool) -> None:
         """Record the first decision on an attempt, and evict the oldest."""
         self._dispatched_by_key.setdefault(key, dispatched)
-        if len(self._dispatched_by_key) > DECIDED_MAX:
+        if len(self._dispatched_by_key) > REMEMBERED_DECISIONS_MAX:
             self._dispatched_by_key.popitem(last=False)
 
-    def _queued(self, key: AttemptKey) -> QueuedDispatch | None:
+    def _find_queued(self, key: AttemptKey) -> QueuedDispatch | None:
         for queued in self._queue.waiting:
             if AttemptKey.from_dispatch(queued.dispatch) == key:
                 return queued
         return None
 
-    def _place(self, dispatch: Dispatch) -> QueuedDispatch:
+    def _prepare(self, dispatch: Dispatch) -> QueuedDispatch:
         prefill_tokens = self._prefill_tokens(dispatch)
         output_tokens = self._output_tokens(dispatch)
-        return self._queue.place(
+        return self._queue.prepare(
             dispatch,
             deadline_ms=self.clock.now_ms() + dispatch.remaining_ms,
             cost=prefill_tokens + OUTPUT_TOKEN_COST * output_tokens,
@@ -401,12 +409,12 @@
 
     def _retry_after_ms(self, dispatch: Dispatch) -> int:
         """Return the time until the expected wait is below its limit."""
-        wait_ms = self._expected_wait_ms(self._place(dispatch))
+        wait_ms = self._expected_wait_ms(self._prepare(dispatch))
         excess_ms = wait_ms - self.limits.queue_wait_ms
         bounded_ms = min(RETRY_AFTER_MAX_MS, excess_ms)
         return int(max(RETRY_AFTER_MIN_MS, bounded_ms))
 
-    def _see_team(self, team: str) -> None:
+    def _record_team(self, team: str) -> None:
         now_ms = self.clock.now_ms()
         self._seen_ms_by_team[team] = now_ms
         self._seen_ms_by_team = {
--- a/bergamotthread/process/overload/circuit.py
+++ b/bergamotthread/process/overload/circuit.py
@@ -7,11 +7,11 @@
 
 from bergamotthread.clock import Clock
 
-_GROWTH = 2
+_BACKOFF_FACTOR = 2
 
 
 @dataclass
-class Circuit:
+class CircuitBreaker:
     """Opens after consecutive failures, then admits one probe at a time.
 
     Parameters
@@ -34,8 +34,8 @@
     max_open_ms: float = 5000
     rng: random.Random = field(default_factory=random.Random)
     _failures: int = 0
-    _until_ms: float = 0
-    _probing: bool = False
+    _open_until_ms: float = 0
+    _is_probing: bool = False
 
     @property
     def is_open(self) -> bool:
@@ -43,34 +43,38 @@
         return self._failures >= self.threshold
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether a request would be admitted now."""
         if not self.is_open:
             return True
-        return not self._probing and self.clock.now_ms() >= self._until_ms
+        return (
+            not self._is_probing and self.clock.now_ms() >= self._open_until_ms
+        )
 
     def admit(self) -> bool:
         """Return whether a request may be sent now, as a probe if open."""
-        admitted = self.ready
-        self._probing = self._probing or (admitted and self.is_open)
+        admitted = self.is_ready
+        self._is_probing = self._is_probing or (admitted and self.is_open)
         return admitted
 
     def release(self) -> None:
         """Allow another probe after one was abandoned without an outcome."""
-        self._probing = False
+        self._is_probing = False
 
     def record_success(self) -> None:
         """Close the circuit."""
         self._failures = 0
-        self._probing = False
+        self._is_probing = False
 
     def record_failure(self) -> None:
         """Count a failure, and open the circuit at the threshold."""
         self._failures += 1
-        self._probing = False
+        self._is_probing = False
         excess = self._failures - self.threshold
         if excess < 0:
             return
-        longest_ms = min(self.max_open_ms, self.open_ms * _GROWTH**excess)
+        longest_ms = min(
+            self.max_open_ms, self.open_ms * _BACKOFF_FACTOR**excess
+        )
         open_ms = longest_ms * (1 + self.rng.random()) / 2
-        self._until_ms = self.clock.now_ms() + open_ms
+        self._open_until_ms = self.clock.now_ms() + open_ms
--- a/bergamotthread/process/overload/fair_queue.py
+++ b/bergamotthread/process/overload/fair_queue.py
@@ -40,7 +40,7 @@
         return (self.start_tag, self.order)
 
     @property
-    def is_resumption(self) -> bool:
+    def has_priority(self) -> bool:
         """Return whether the dispatch goes ahead of all new work."""
         return self.start_tag < 0
 
@@ -68,7 +68,7 @@
         """Return all waiting dispatches, in order."""
         return tuple(self._waiting)
 
-    def place(
+    def prepare(
         self,
         dispatch: Dispatch,
         deadline_ms: float,
@@ -87,13 +87,13 @@
         """Add a dispatch that `place` returned."""
         self._order += 1
         bisect.insort(self._waiting, queued, key=_rank)
-        if queued.is_resumption:
+        if queued.has_priority:
             return
         team = queued.dispatch.team
         virtual_cost = queued.cost / self._weight(team)
         self._finish_tag_by_team[team] = queued.start_tag + virtual_cost
         if len(self._finish_tag_by_team) > _FINISH_TAGS_MAX:
-            self._forget_idle_teams()
+            self._remove_idle_teams()
 
     def ahead_of(self, queued: QueuedDispatch) -> int:
         """Return how many dispatches go before `queued`."""
@@ -115,7 +115,7 @@
         """
         backlog: Counter[str] = Counter()
         new_work = [
-            queued for queued in self._waiting if not queued.is_resumption
+            queued for queued in self._waiting if not queued.has_priority
         ]
         for queued in new_work:
             team = queued.dispatch.team
@@ -132,7 +132,7 @@
     def _weight(self, team: str) -> float:
         return max(self.weight_of(team), WEIGHT_MIN)
 
-    def _forget_idle_teams(self) -> None:
+    def _remove_idle_teams(self) -> None:
         self._finish_tag_by_team = {
             team: finish_tag
             for team, finish_tag in self._finish_tag_by_team.items()
--- a/bergamotthread/process/overload/overload.py
+++ b/bergamotthread/process/overload/overload.py
@@ -111,7 +111,7 @@
                 utilisation,
                 self.limits.utilisation_max,
             )
-        share = self._teams.share(team, now_ms)
+        share = self._teams.relative_usage(team, now_ms)
         offered_limit = share.others_mean_offered * self.limits.demand_slack
         if utilisation <= self.limits.fair_utilisation:
             return Admitted()
@@ -119,7 +119,7 @@
             return Admitted()
         if share.usage.offered <= offered_limit:
             return Admitted()
-        return self._hold_to_share(team, share, utilisation)
+        return self._limit_to_share(team, share, utilisation)
 
     def record_start(self, team: str) -> None:
         """Record the start of an admitted request."""
@@ -131,7 +131,7 @@
         if run_ms:
             self.run_ms += _RUN_SMOOTHING * (run_ms - self.run_ms)
 
-    def _hold_to_share(
+    def _limit_to_share(
         self,
         team: str,
         share: TeamShare,
@@ -139,12 +139,12 @@
     ) -> Admitted | Overloaded:
         usage = share.usage
         used = max(usage.smoothed, usage.in_flight / self.limits.burst)
-        allowed = self._allowed(share, utilisation)
+        allowed = self._allowed_in_flight(share, utilisation)
         if used < allowed:
             return Admitted()
         return self._overloaded(f'teams/{team}', used, allowed)
 
-    def _allowed(self, share: TeamShare, utilisation: float) -> float:
+    def _allowed_in_flight(self, share: TeamShare, utilisation: float) -> float:
         """Return the smoothed requests in flight that a team may have.
 
         It is the maximum of `in_flight_min`, the mean of the other teams by
--- a/bergamotthread/process/overload/retry_budget.py
+++ b/bergamotthread/process/overload/retry_budget.py
@@ -8,7 +8,7 @@
 from bergamotthread.clock import Clock
 
 TEAMS_MAX = 10_000
-RESUME_RESERVE = 0.5
+RESUME_RESERVE_FRACTION = 0.5
 _MS_PER_S = 1000
 
 
@@ -63,12 +63,12 @@
         self._balance = min(self.capacity, self._balance + earned)
         return self._balance
 
-    def start(self) -> None:
+    def record_start(self) -> None:
         """Record the start of a request, and add its `per_in_flight`."""
         self.in_flight += 1
         self._balance += self.limits.per_in_flight
 
-    def end(self, *, succeeded: bool) -> None:
+    def record_end(self, *, succeeded: bool) -> None:
         """Record the end of a request, and remove its `per_in_flight`.
 
         If those retries were spent, the balance goes into debt, so that
@@ -122,13 +122,13 @@
 
     def record_start(self, team: str) -> None:
         """Record the start of an accepted request."""
-        self._process.start()
-        self._bucket(team).start()
+        self._process.record_start()
+        self._bucket(team).record_start()
 
     def record_end(self, team: str, *, succeeded: bool) -> None:
         """Record the end of a request that `record_start` counted."""
-        self._process.end(succeeded=succeeded)
-        self._bucket(team).end(succeeded=succeeded)
+        self._process.record_end(succeeded=succeeded)
+        self._bucket(team).record_end(succeeded=succeeded)
 
     def spend(self, team: str, *, resume: bool = True) -> Granted | Denied:
         """Spend one retry of a team, or return when to try again.
@@ -147,7 +147,7 @@
             (bucket, f'teams/{team}'),
             (self._process, 'process'),
         ):
-            reserve = 0 if resume else RESUME_RESERVE * budget.capacity
+            reserve = 0 if resume else RESUME_RESERVE_FRACTION * budget.capacity
             if budget.balance < reserve + 1:
                 return Denied(name, int(budget.wait_ms(reserve)) + 1)
         bucket.spend()
@@ -159,11 +159,11 @@
         if bucket is None:
             bucket = TokenBucket(self.team_limits, self.clock)
             self._bucket_by_team[team] = bucket
-            self._forget_idle()
+            self._evict_idle_team()
         self._bucket_by_team.move_to_end(team)
         return bucket
 
-    def _forget_idle(self) -> None:
+    def _evict_idle_team(self) -> None:
         """Evict the least recently used team that has nothing in flight."""
         if len(self._bucket_by_team) <= TEAMS_MAX:
             return
--- a/bergamotthread/process/overload/retry_credit.py
+++ b/bergamotthread/process/overload/retry_credit.py
@@ -17,7 +17,7 @@
         Maximum credit, which limits a burst of retries.
     """
 
-    share: float = 0.1
+    retry_ratio: float = 0.1
     capacity: float = 10
 
     def __post_init__(self) -> None:
@@ -25,7 +25,7 @@
 
     def earn(self) -> None:
         """Count a first attempt."""
-        self.credit = min(self.capacity, self.credit + self.share)
+        self.credit = min(self.capacity, self.credit + self.retry_ratio)
 
     def spend(self) -> bool:
         """Return whether a retry is allowed, and count it if so."""
--- a/bergamotthread/process/routing/agent_roster.py
+++ b/bergamotthread/process/routing/agent_roster.py
@@ -45,14 +45,14 @@
         self._places_by_model = {
             name: tuple(places) for name, places in places_by_model.items()
         }
-        self._forget_unpublished(self._heard_ms_by_agent)
-        self._forget_unpublished(self._incarnation_by_agent)
+        self._remove_unpublished(self._heard_ms_by_agent)
+        self._remove_unpublished(self._incarnation_by_agent)
 
     def places(self, model: str) -> tuple[PlaceSettings, ...]:
         """Return the places of the agents whose upstreams run a model."""
         return self._places_by_model.get(model, ())
 
-    def note_heard(self, agent: str, incarnation: int) -> bool:
+    def record_frame(self, agent: str, incarnation: int) -> bool:
         """Record a frame of an agent.
 
         Returns
@@ -68,7 +68,9 @@
         self._heard_ms_by_agent[agent] = self._clock.now_ms()
         return True
 
-    def silent(self, agents: Iterable[str], limit_ms: float) -> frozenset[str]:
+    def silent_agents(
+        self, agents: Iterable[str], limit_ms: float
+    ) -> frozenset[str]:
         """Return those of `agents` not heard from for `limit_ms`."""
         now_ms = self._clock.now_ms()
         return frozenset(
@@ -78,7 +80,7 @@
             >= limit_ms
         )
 
-    def _forget_unpublished(
+    def _remove_unpublished(
         self,
         value_by_agent: dict[str, float] | dict[str, int],
     ) -> None:
--- a/bergamotthread/process/routing/availability.py
+++ b/bergamotthread/process/routing/availability.py
@@ -44,7 +44,7 @@
         self._lost.add(agent)
         self._lost_ms_by_agent[agent] = self.clock.now_ms()
 
-    def avoided_domains(self, tolerated: int) -> frozenset[str]:
+    def avoided_domains(self, losses_max: int) -> frozenset[str]:
         """Return failure domains with more than `tolerated` recent losses."""
         since_ms = self.clock.now_ms() - DOMAIN_AVOIDANCE_MS
         self._lost_ms_by_agent = {
@@ -52,7 +52,9 @@
             for agent, lost_ms in self._lost_ms_by_agent.items()
             if lost_ms > since_ms
         }
-        losses = Counter(map(self.pool.domain_of, self._lost_ms_by_agent))
+        losses = Counter(
+            map(self.pool.failure_domain_of, self._lost_ms_by_agent)
+        )
         return frozenset(
-            domain for domain, count in losses.items() if count > tolerated
+            domain for domain, count in losses.items() if count > losses_max
         )
--- a/bergamotthread/process/routing/load_view.py
+++ b/bergamotthread/process/routing/load_view.py
@@ -15,7 +15,7 @@
 
 REPORT_HALF_LIFE_MS = 2000
 REPORT_TRANSIT_MS = 50
-DEFAULT_PREFILL_PER_S = 8000
+DEFAULT_PREFILL_TOKENS_PER_S = 8000
 _MS_PER_S = 1000
 
 
@@ -27,7 +27,7 @@
     kv_tokens: float = 0
     kv_capacity: float = 0
     prefill_tokens: float = 0
-    prefill_per_s: float = DEFAULT_PREFILL_PER_S
+    prefill_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S
 
     @property
     def prefill_ms(self) -> float:
@@ -35,7 +35,7 @@
         return self.prefill_tokens / self.prefill_per_s * _MS_PER_S
 
     @property
-    def kv_share(self) -> float:
+    def kv_fraction(self) -> float:
         """Return the fraction of the KV cache in use, 0 if unknown."""
         return self.kv_tokens / self.kv_capacity if self.kv_capacity else 0
 
@@ -51,7 +51,9 @@
 class _AgentLoad:
     report: LoadReport = LoadReport()
     sampled_ms: float = -math.inf
-    own_by_generation: dict[str, _OwnDispatch] = field(default_factory=dict)
+    dispatch_by_generation: dict[str, _OwnDispatch] = field(
+        default_factory=dict
+    )
 
 
 @dataclass
@@ -86,7 +88,7 @@
     ) -> None:
         """Record an own dispatch that no report includes yet."""
         load = self._load_by_agent.setdefault(agent, _AgentLoad())
-        load.own_by_generation[generation] = _OwnDispatch(
+        load.dispatch_by_generation[generation] = _OwnDispatch(
             sent_ms=self.clock.now_ms(),
             kv_tokens=kv_tokens,
             prefill_tokens=prefill_tokens,
@@ -96,7 +98,7 @@
         """Remove an own dispatch."""
         load = self._load_by_agent.get(agent)
         if load is not None:
-            load.own_by_generation.pop(generation, None)
+            load.dispatch_by_generation.pop(generation, None)
 
     def is_draining(self, agent: str) -> bool:
         """Return whether the agent is draining by its newest report."""
@@ -113,16 +115,20 @@
         estimate = _blend(
             _as_estimate(load.report), self._fleet_mean(), report_weight
         )
-        return _add_own(estimate, _unseen(load))
+        return _add_dispatches(estimate, _unreported_dispatches(load))
 
     def attempts(self, agent: str) -> int:
         """Return the attempts at an agent: reported, and sent since then."""
         load = self._load_by_agent.get(agent)
         if load is None:
             return 0
-        return load.report.running + load.report.queued + len(_unseen(load))
+        return (
+            load.report.running
+            + load.report.queued
+            + len(_unreported_dispatches(load))
+        )
 
-    def forget(self, agent: str) -> None:
+    def remove(self, agent: str) -> None:
         """Remove the load of an agent."""
         self._load_by_agent.pop(agent, None)
 
@@ -141,7 +147,7 @@
         kv_tokens=report.kv_tokens,
         kv_capacity=report.kv_capacity,
         prefill_tokens=report.prefill_tokens,
-        prefill_per_s=report.prefill_per_s or DEFAULT_PREFILL_PER_S,
+        prefill_per_s=report.prefill_per_s or DEFAULT_PREFILL_TOKENS_PER_S,
     )
 
 
@@ -151,7 +157,8 @@
         return LoadEstimate()
     count = len(reports)
     rates = [
-        report.prefill_per_s or DEFAULT_PREFILL_PER_S for report in reports
+        report.prefill_per_s or DEFAULT_PREFILL_TOKENS_PER_S
+        for report in reports
     ]
     return LoadEstimate(
         running=sum(report.running for report in reports) / count,
@@ -183,13 +190,13 @@
     )
 
 
-def _unseen(load: _AgentLoad) -> tuple[_OwnDispatch, ...]:
+def _unreported_dispatches(load: _AgentLoad) -> tuple[_OwnDispatch, ...]:
     since_ms = load.sampled_ms - REPORT_TRANSIT_MS
-    own = load.own_by_generation.values()
+    own = load.dispatch_by_generation.values()
     return tuple(dispatch for dispatch in own if dispatch.sent_ms > since_ms)
 
 
-def _add_own(
+def _add_dispatches(
     estimate: LoadEstimate,
     own: tuple[_OwnDispatch, ...],
 ) -> LoadEstimate:
--- a/bergamotthread/process/routing/pin_demand.py
+++ b/bergamotthread/process/routing/pin_demand.py
@@ -20,24 +20,27 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._updated_ms = clock.now_ms()
-        self._weight_by_pin: dict[Pin, float] = {}
+        self._decayed_count_by_pin: dict[Pin, float] = {}
 
     def record(self, pin: Pin) -> None:
         """Count a new generation."""
         self._decay()
-        self._weight_by_pin[pin] = self._weight_by_pin.get(pin, 0) + 1
+        self._decayed_count_by_pin[pin] = (
+            self._decayed_count_by_pin.get(pin, 0) + 1
+        )
 
-    def per_s(self) -> dict[Pin, float]:
+    def requests_per_s(self) -> dict[Pin, float]:
         """Return the demand for each pin, in requests per second."""
         self._decay()
         seconds = TIME_CONSTANT_MS / _MS_PER_S
         return {
-            pin: weight / seconds for pin, weight in self._weight_by_pin.items()
+            pin: weight / seconds
+            for pin, weight in self._decayed_count_by_pin.items()
         }
 
     def _decay(self) -> None:
         now_ms = self._clock.now_ms()
         factor = math.exp((self._updated_ms - now_ms) / TIME_CONSTANT_MS)
         self._updated_ms = now_ms
-        for pin, weight in self._weight_by_pin.items():
-            self._weight_by_pin[pin] = weight * factor
+        for pin, weight in self._decayed_count_by_pin.items():
+            self._decayed_count_by_pin[pin] = weight * factor
--- a/bergamotthread/process/routing/placement.py
+++ b/bergamotthread/process/routing/placement.py
@@ -42,7 +42,7 @@
     resume: bool = False
     cross_region: bool = True
     regions: tuple[str, ...] = ()
-    apart_from: str = ''
+    avoid_domain_of: str = ''
 
 
 class Placement(abc.ABC):
--- a/bergamotthread/process/routing/placement_score.py
+++ b/bergamotthread/process/routing/placement_score.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Attempted:
+class AttemptSize:
     """Tokens of an attempt that is to be placed.
 
     Parameters
@@ -64,7 +64,7 @@
 
 
 def score_ms(
-    attempt: Attempted,
+    attempt: AttemptSize,
     load: LoadEstimate,
     target: Target,
     weights: ScoreWeights,
@@ -77,14 +77,14 @@
     own_prefill_s = attempt.uncovered_tokens / load.prefill_per_s
     prefill_ms = load.prefill_ms + own_prefill_s * _MS_PER_S
     excess = max(0, load.running + 1 - target.max_running)
-    kv_fraction = _kv_share(attempt, load, target)
+    kv_fraction = _kv_fraction(attempt, load, target)
     queue_ms = prefill_ms + (load.queued + excess) * weights.queued_ms
     slowdown_ms = load.running * weights.running_ms
     return queue_ms + slowdown_ms + kv_fraction**2 * weights.kv_full_ms
 
 
-def _kv_share(
-    attempt: Attempted,
+def _kv_fraction(
+    attempt: AttemptSize,
     load: LoadEstimate,
     target: Target,
 ) -> float:
--- a/bergamotthread/process/routing/prefix_hash.py
+++ b/bergamotthread/process/routing/prefix_hash.py
@@ -58,7 +58,7 @@
     )
     _agents_by_hash: dict[int, set[str]] = field(default_factory=dict)
 
-    def bound(self, agent: str, kv_capacity: int) -> None:
+    def limit_to_cache(self, agent: str, kv_capacity: int) -> None:
         """Limit an agent's hashes to its engine's KV cache, in tokens."""
         blocks = kv_capacity // PREFIX_BLOCK_TOKENS
         self._hashes_max_by_agent[agent] = min(blocks, self.hashes_max)
@@ -73,12 +73,12 @@
         limit = self._hashes_max_by_agent.get(agent, self.hashes_max)
         while len(cached) > limit:
             evicted, _ = cached.popitem(last=False)
-            self._drop(agent, evicted)
+            self._remove_hash(agent, evicted)
 
-    def forget(self, agent: str) -> None:
+    def remove(self, agent: str) -> None:
         """Remove all hashes of an agent whose engine was lost."""
         for prefix_hash in self._hashes_by_agent.pop(agent, ()):
-            self._drop(agent, prefix_hash)
+            self._remove_hash(agent, prefix_hash)
 
     def covered_blocks(self, agent: str, prefix_hashes: tuple[int, ...]) -> int:
         """Return how many leading blocks an agent has probably cached."""
@@ -90,7 +90,9 @@
                 return count
         return 0
 
-    def holders(self, prefix_hashes: tuple[int, ...]) -> frozenset[str]:
+    def longest_prefix_agents(
+        self, prefix_hashes: tuple[int, ...]
+    ) -> frozenset[str]:
         """Return all agents with the longest cached prefix."""
         for prefix_hash in reversed(prefix_hashes):
             agents = self._agents_by_hash.get(prefix_hash)
@@ -98,7 +100,7 @@
                 return frozenset(agents)
         return frozenset()
 
-    def _drop(self, agent: str, prefix_hash: int) -> None:
+    def _remove_hash(self, agent: str, prefix_hash: int) -> None:
         agents = self._agents_by_hash.get(prefix_hash)
         if agents is None:
             return
--- a/bergamotthread/process/routing/routing.py
+++ b/bergamotthread/process/routing/routing.py
@@ -13,7 +13,7 @@
 from bergamotthread.process.routing.load_view import LoadView
 from bergamotthread.process.routing.placement import Placement, PlacementRequest
 from bergamotthread.process.routing.placement_score import (
-    Attempted,
+    AttemptSize,
     ScoreWeights,
     region_cost_ms,
     score_ms,
@@ -21,7 +21,7 @@
 )
 from bergamotthread.process.routing.prefix_hash import PrefixView
 from bergamotthread.process.routing.upstream_pool import (
-    Subset,
+    SubsetSelector,
     Target,
     UpstreamPool,
 )
@@ -38,7 +38,7 @@
 REMOTE_CANDIDATES = 1
 RESUME_CANDIDATES_FACTOR = 2
 PREFIX_CANDIDATES = 4
-NO_UPSTREAM_RETRY_MS = 1000
+NO_UPSTREAM_RETRY_AFTER_MS = 1000
 UTILISATION_INTERVAL_MS = 100
 NO_DOMAINS: frozenset[str] = frozenset()
 
@@ -62,7 +62,7 @@
     load_view: LoadView
     prefix_view: PrefixView = field(default_factory=PrefixView)
     weights: ScoreWeights = ScoreWeights()
-    subset: Subset | None = None
+    subset: SubsetSelector | None = None
     seed: int = 0
 
     def __post_init__(self) -> None:
@@ -80,7 +80,7 @@
         published: PublishedVersion,
         region: str,
         clock: Clock,
-        subset: Subset | None = None,
+        subset: SubsetSelector | None = None,
         *,
         seed: int = 0,
     ) -> ScoredPlacement:
@@ -107,8 +107,8 @@
         """Return the candidate with the lowest score."""
         tolerated = 0 if request.resume else 1
         avoided = self._availability.avoided_domains(tolerated)
-        if request.apart_from:
-            avoided |= {self.failure_domain(request.apart_from)}
+        if request.avoid_domain_of:
+            avoided |= {self.failure_domain(request.avoid_domain_of)}
         candidates = self._candidates(request, avoided)
         if not candidates and avoided:
             candidates = self._candidates(request, NO_DOMAINS)
@@ -119,7 +119,7 @@
             key=lambda target: self.score_ms(request, target),
         ).agent
 
-    def eligible(
+    def eligible_targets(
         self,
         request: PlacementRequest,
         avoided: frozenset[str] = NO_DOMAINS,
@@ -141,7 +141,7 @@
         """Return the cost of a target in milliseconds; lower is better."""
         load = self.load_view.estimate(target.agent)
         score = score_ms(
-            self._attempted(target.agent, request),
+            self._attempt_size(target.agent, request),
             load,
             target,
             self.weights,
@@ -157,7 +157,7 @@
 
     def failure_domain(self, agent: str) -> str:
         """Return the failure domain of an agent, empty if unknown."""
-        return self.pool.domain_of(agent)
+        return self.pool.failure_domain_of(agent)
 
     def utilisation(self, pin: Pin) -> float:
         """Return the attempts per slot of the own region's live upstreams.
@@ -178,12 +178,12 @@
         self._availability.record_heard(agent)
         self.load_view.record_report(agent, load)
         if load.kv_capacity:
-            self.prefix_view.bound(agent, load.kv_capacity)
+            self.prefix_view.limit_to_cache(agent, load.kv_capacity)
         self.prefix_view.record(agent, load.cached_prefixes)
 
     def record_dispatch(self, agent: str, request: PlacementRequest) -> None:
         """Record that an attempt was sent to `agent`."""
-        attempt = self._attempted(agent, request)
+        attempt = self._attempt_size(agent, request)
         self.load_view.record_dispatch(
             agent,
             request.generation,
@@ -199,8 +199,8 @@
     def record_loss(self, agent: str) -> None:
         """Exclude an agent until heard from; avoid its domain for a while."""
         self._availability.record_loss(agent)
-        self.load_view.forget(agent)
-        self.prefix_view.forget(agent)
+        self.load_view.remove(agent)
+        self.prefix_view.remove(agent)
 
     def _measure_utilisation(self, pin: Pin) -> float:
         live = [
@@ -225,11 +225,13 @@
         return (
             target.failure_domain not in avoided
             and target.agent not in request.excluded
-            and self._in_reach(request, target)
+            and self._is_region_allowed(request, target)
             and self._availability.accepts(target.agent)
         )
 
-    def _in_reach(self, request: PlacementRequest, target: Target) -> bool:
+    def _is_region_allowed(
+        self, request: PlacementRequest, target: Target
+    ) -> bool:
         if request.regions and target.region not in request.regions:
             return False
         return request.cross_region or target.region == self.region
@@ -239,7 +241,7 @@
         request: PlacementRequest,
         avoided: frozenset[str],
     ) -> tuple[Target, ...]:
-        by_region = self.pool.split(request.pin, self.region)
+        by_region = self.pool.split_by_region(request.pin, self.region)
         is_eligible = partial(self._is_eligible, request, avoided=avoided)
         factor = RESUME_CANDIDATES_FACTOR if request.resume else 1
         sampled = self._sample(
@@ -253,7 +255,7 @@
             factor * remote_count,
             is_eligible,
         )
-        holders = self.prefix_view.holders(request.prefix_hashes)
+        holders = self.prefix_view.longest_prefix_agents(request.prefix_hashes)
         prefix_targets = tuple(
             by_region.targets_by_agent[agent]
             for agent in sorted(holders)
@@ -281,9 +283,11 @@
             self._random.shuffle(sampled)
         return sampled[:count]
 
-    def _attempted(self, agent: str, request: PlacementRequest) -> Attempted:
+    def _attempt_size(
+        self, agent: str, request: PlacementRequest
+    ) -> AttemptSize:
         covered = self.prefix_view.covered_blocks(agent, request.prefix_hashes)
-        return Attempted(
+        return AttemptSize(
             kv_tokens=request.prompt_tokens + request.accepted_tokens,
             uncovered_tokens=uncovered_tokens(request, covered),
         )
@@ -307,7 +311,7 @@
             ran=Ran.MAYBE if request.resume else Ran.NOT_RUN,
             config_version=self.pool.version,
             decided_by=f'models/{pin.model}',
-            retry_after_ms=NO_UPSTREAM_RETRY_MS,
+            retry_after_ms=NO_UPSTREAM_RETRY_AFTER_MS,
             figures={
                 'known': len(targets),
                 'lost_or_draining': len(unavailable),
--- a/bergamotthread/process/routing/subset.py
+++ b/bergamotthread/process/routing/subset.py
@@ -82,16 +82,16 @@
         entry, and of others that are needed to reach the minimum sizes.
     """
     local = [place for place in upstreams if place.region == own.region]
-    chosen = _selected_by(own, entries, local, sizes)
+    chosen = _upstreams_selecting(own, entries, local, sizes)
     remote = [place for place in upstreams if place.region != own.region]
-    _add_domains(own, chosen, local, sizes)
-    _fill(own, chosen, local, sizes)
-    _add_domains(own, chosen, remote, sizes)
-    _fill(own, chosen, remote, sizes)
+    _add_failure_domains(own, chosen, local, sizes)
+    _fill_up(own, chosen, local, sizes)
+    _add_failure_domains(own, chosen, remote, sizes)
+    _fill_up(own, chosen, remote, sizes)
     return tuple(sorted(chosen))
 
 
-def _selected_by(
+def _upstreams_selecting(
     own: PlaceSettings,
     entries: Sequence[PlaceSettings],
     local: Sequence[PlaceSettings],
@@ -138,7 +138,7 @@
     return True
 
 
-def _add_domains(
+def _add_failure_domains(
     own: PlaceSettings,
     chosen: dict[str, PlaceSettings],
     candidates: Sequence[PlaceSettings],
@@ -153,7 +153,7 @@
             chosen[place.address] = place
 
 
-def _fill(
+def _fill_up(
     own: PlaceSettings,
     chosen: dict[str, PlaceSettings],
     candidates: Sequence[PlaceSettings],
--- a/bergamotthread/process/routing/upstream_pool.py
+++ b/bergamotthread/process/routing/upstream_pool.py
@@ -10,7 +10,7 @@
 from bergamotthread.wire.messages import Pin
 
 _Upstreams = tuple[Upstream, ...]
-Subset = Callable[[Pin, _Upstreams], _Upstreams]
+SubsetSelector = Callable[[Pin, _Upstreams], _Upstreams]
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     targets_by_agent: dict[str, Target]
     stop_start_ms_by_agent: dict[str, int]
     egress_price_by_region: dict[str, float]
-    _split_by_key: dict[tuple[Pin, str], RegionSplit] = field(
+    _region_split_by_key: dict[tuple[Pin, str], RegionSplit] = field(
         default_factory=dict,
     )
 
@@ -50,7 +50,7 @@
     def from_published(
         cls,
         published: PublishedVersion,
-        subset: Subset | None = None,
+        subset: SubsetSelector | None = None,
     ) -> UpstreamPool:
         """Return the targets of a version.
 
@@ -62,7 +62,7 @@
         """
         targets_by_pin = {
             pin: tuple(_target(published, upstream) for upstream in upstreams)
-            for pin, upstreams in _by_pin(published, subset).items()
+            for pin, upstreams in _upstreams_by_pin(published, subset).items()
         }
         return cls(
             version=published.version,
@@ -82,9 +82,9 @@
             },
         )
 
-    def split(self, pin: Pin, region: str) -> RegionSplit:
+    def split_by_region(self, pin: Pin, region: str) -> RegionSplit:
         """Return the targets of a pin split by region; cached."""
-        split = self._split_by_key.get((pin, region))
+        split = self._region_split_by_key.get((pin, region))
         if split is None:
             targets = self.targets_by_pin.get(pin, ())
             split = RegionSplit(
@@ -96,7 +96,7 @@
                 ),
                 targets_by_agent={target.agent: target for target in targets},
             )
-            self._split_by_key[pin, region] = split
+            self._region_split_by_key[pin, region] = split
         return split
 
     def is_stopping(self, agent: str, calendar_ms: int) -> bool:
@@ -104,15 +104,15 @@
         start_ms = self.stop_start_ms_by_agent.get(agent)
         return start_ms is not None and start_ms <= calendar_ms
 
-    def domain_of(self, agent: str) -> str:
+    def failure_domain_of(self, agent: str) -> str:
         """Return the failure domain of an agent, empty if unknown."""
         target = self.targets_by_agent.get(agent)
         return target.failure_domain if target else ''
 
 
-def _by_pin(
+def _upstreams_by_pin(
     published: PublishedVersion,
-    subset: Subset | None,
+    subset: SubsetSelector | None,
 ) -> dict[Pin, tuple[Upstream, ...]]:
     upstreams_by_pin: dict[Pin, list[Upstream]] = {}
     for upstream in published.object_set.upstreams:
--- a/bergamotthread/process/shares/rate_share.py
+++ b/bergamotthread/process/shares/rate_share.py
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class RateShare:
+class RateLimiter:
     """Token bucket with a reserve for preferred accesses.
 
     Preferred accesses are granted tokens in order of arrival; others are
@@ -31,7 +31,7 @@
     clock: Clock
     per_s: float
     burst_s: float = 10
-    reserved: float = 0.5
+    reserved_fraction: float = 0.5
     _tokens: float = field(init=False)
     _filled_ms: float = field(init=False)
 
@@ -44,26 +44,28 @@
         """Tokens in a full bucket, at least two."""
         return max(2, self.per_s * self.burst_s)
 
-    async def acquire(self, *, preferred: bool, limit_ms: float) -> bool:
+    async def acquire(self, *, preferred: bool, timeout_ms: float) -> bool:
         """Wait up to `limit_ms` for a token; return whether it was granted."""
-        self._fill()
+        self._refill()
         reserve_tokens = (
-            float(0) if preferred else self.capacity * self.reserved
+            float(0) if preferred else self.capacity * self.reserved_fraction
         )
         wait_ms = (reserve_tokens + 1 - self._tokens) / self.per_s * _MS_PER_S
         if wait_ms <= 0:
             self._tokens -= 1
             return True
-        if wait_ms > limit_ms:
+        if wait_ms > timeout_ms:
             return False
         if preferred:
             self._tokens -= 1
             await self.clock.sleep_ms(wait_ms)
             return True
         await self.clock.sleep_ms(wait_ms)
-        return await self.acquire(preferred=False, limit_ms=limit_ms - wait_ms)
+        return await self.acquire(
+            preferred=False, timeout_ms=timeout_ms - wait_ms
+        )
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now_ms = self.clock.now_ms()
         gained = (now_ms - self._filled_ms) * self.per_s / _MS_PER_S
         self._tokens = min(self.capacity, self._tokens + gained)
--- a/bergamotthread/process/shares/share_home.py
+++ b/bergamotthread/process/shares/share_home.py
@@ -11,9 +11,9 @@
 LEASE_MS = 10_000
 # Views of the membership may differ between entries for this long.
 VIEW_LAG_MS = 10_000
-HOLD_MS = LEASE_MS + VIEW_LAG_MS
+LEASE_HOLD_MS = LEASE_MS + VIEW_LAG_MS
 # Leases are granted for this multiple of the demand.
-HEADROOM = 1.25
+DEMAND_HEADROOM = 1.25
 
 
 def home_of(team: str, entries: Sequence[str]) -> str:
@@ -37,7 +37,7 @@
 @dataclass
 class _View:
     entries: tuple[str, ...]
-    left_ms: float
+    replaced_ms: float
 
 
 class ShareHome:
@@ -70,17 +70,19 @@
         if entries == self._entries:
             return
         self._past_views = [
-            view for view in self._past_views if now_ms - view.left_ms < HOLD_MS
+            view
+            for view in self._past_views
+            if now_ms - view.replaced_ms < LEASE_HOLD_MS
         ]
         self._past_views.append(_View(self._entries, now_ms))
         self._entries = entries
         self._home_by_team.clear()
 
-    def note_doubted(self, now_ms: float) -> None:
+    def record_suspected(self, now_ms: float) -> None:
         """Only renew for `HOLD_MS`, since others may have taken over."""
         self._started_ms = now_ms
         for leases in self._leases_by_team.values():
-            leases.renewal_only_until_ms = now_ms + HOLD_MS
+            leases.renewal_only_until_ms = now_ms + LEASE_HOLD_MS
 
     def home(self, team: str) -> str:
         """Return the home of a team in the current view."""
@@ -115,9 +117,9 @@
         if self.home(demand.team) != self._own:
             return TeamShare(demand.team, 0)
         leases = self._leases(demand.team, now_ms)
-        others = _drop_expired(leases, entry, now_ms)
+        others = _remove_expired(leases, entry, now_ms)
         free = max(0, pool - sum(lease.share for lease in others))
-        wanted = max(0, demand.wanted) * HEADROOM
+        wanted = max(0, demand.wanted) * DEMAND_HEADROOM
         fair_level = _fair_level(
             pool, [wanted, *(lease.wanted for lease in others)]
         )
@@ -125,7 +127,9 @@
         if now_ms < leases.renewal_only_until_ms:
             share = min(share, demand.held)
         counted = max(share, demand.held)
-        leases.lease_by_entry[entry] = _Lease(counted, wanted, now_ms + HOLD_MS)
+        leases.lease_by_entry[entry] = _Lease(
+            counted, wanted, now_ms + LEASE_HOLD_MS
+        )
         return TeamShare(demand.team, share, contended=share < wanted)
 
     def leased(self, team: str, now_ms: float) -> float:
@@ -139,10 +143,10 @@
             if lease.until_ms > now_ms
         )
 
-    def forget_idle(self, now_ms: float) -> None:
+    def remove_idle(self, now_ms: float) -> None:
         """Remove teams that have no leases and are past renewal-only time."""
         for team, leases in tuple(self._leases_by_team.items()):
-            _drop_expired(leases, '', now_ms)
+            _remove_expired(leases, '', now_ms)
             is_idle = not leases.lease_by_entry
             if is_idle and now_ms >= leases.renewal_only_until_ms:
                 self._leases_by_team.pop(team)
@@ -156,16 +160,16 @@
         return leases
 
     def _renewal_only_until_ms(self, team: str, now_ms: float) -> float:
-        until_ms = self._started_ms + HOLD_MS
+        until_ms = self._started_ms + LEASE_HOLD_MS
         for view in self._past_views:
-            if now_ms - view.left_ms >= HOLD_MS:
+            if now_ms - view.replaced_ms >= LEASE_HOLD_MS:
                 continue
             if home_of(team, view.entries) != self._own:
-                until_ms = max(until_ms, view.left_ms + HOLD_MS)
+                until_ms = max(until_ms, view.replaced_ms + LEASE_HOLD_MS)
         return until_ms
 
 
-def _drop_expired(
+def _remove_expired(
     leases: _TeamLeases,
     entry: str,
     now_ms: float,
--- a/bergamotthread/process/shares/share_usage.py
+++ b/bergamotthread/process/shares/share_usage.py
@@ -12,24 +12,24 @@
 DEMAND_WINDOW_MS = 2000
 BURST_MS = 1000
 # Requests that a bucket holds at least.
-FLOOR_BURST = 4
-MIN_FLOOR_SHARE = 0.1
+MIN_BURST_REQUESTS = 4
+MIN_FLOOR_FRACTION = 0.1
 INITIAL_RELEASE_INTERVAL_MS = 1000
 RELEASE_SMOOTHING = 0.2
 _MS_PER_S = 1000
 
 
-def floor_share(entry_count: int) -> float:
+def floor_fraction(entry_count: int) -> float:
     """Return the fraction of each limit that is split equally without leases.
 
     With one entry this is the whole limit, with `n` entries the `n`-th part of
     it, and with ten or more a tenth.
     """
-    return max(MIN_FLOOR_SHARE, 1 / max(1, entry_count))
+    return max(MIN_FLOOR_FRACTION, 1 / max(1, entry_count))
 
 
 @dataclass(frozen=True)
-class Shortage:
+class ExceededLimit:
     """Limit that a request would exceed.
 
     Parameters
@@ -42,7 +42,7 @@
         Time until the request is expected to be allowed.
     """
 
-    limit: str
+    limit_name: str
     allowed: float
     retry_after_ms: int
 
@@ -72,55 +72,59 @@
         self.contended = False
         self._entry_count = max(1, entry_count)
         self._filled_ms = now_ms
-        self._tokens = self._depth(self._rate(now_ms))
+        self._tokens = self._bucket_size(self._rate(now_ms))
         self._demand = float(0)
         # Cost of refused requests that were told when to retry.
-        self._promised = float(0)
+        self._promised_tokens = float(0)
         # Refused requests that wait for a running one to end.
-        self._waiting = 0
+        self._refused_waiting = 0
         self._released_ms = now_ms
         self._release_interval_ms = float(INITIAL_RELEASE_INTERVAL_MS)
 
     def resize(self, team: Team, entry_count: int, now_ms: float) -> None:
         """Apply changed limits or another number of entries."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         self.team = team
         self._entry_count = max(1, entry_count)
 
     def set_lease(self, share: float, until_ms: float, now_ms: float) -> None:
         """Replace the leased share."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         self.leased = share
         self.lease_until_ms = until_ms
 
     def reduce_lease(self, share: float, now_ms: float) -> None:
         """Reduce the leased share to at most `share`."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         self.leased = min(self.leased, share)
 
-    def take(self, cost: float, now_ms: float) -> Shortage | None:
+    def try_start(self, cost: float, now_ms: float) -> ExceededLimit | None:
         """Count a request that starts, or return the limit it would exceed."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         self._demand += cost
         rate = self._rate(now_ms)
         if self._tokens < cost:
-            self._promised += cost
-            missing = self._promised - self._tokens
-            return Shortage('requests_per_s', rate, _wait_ms(missing, rate))
+            self._promised_tokens += cost
+            missing = self._promised_tokens - self._tokens
+            return ExceededLimit(
+                'requests_per_s', rate, _wait_ms(missing, rate)
+            )
         allowed = self._allowed_running(now_ms)
         if self.running >= allowed:
-            self._waiting += 1
-            wait_ms = _bounded_ms(self._release_interval_ms * self._waiting)
-            return Shortage('concurrent_generations', allowed, wait_ms)
+            self._refused_waiting += 1
+            wait_ms = _bounded_ms(
+                self._release_interval_ms * self._refused_waiting
+            )
+            return ExceededLimit('concurrent_generations', allowed, wait_ms)
         self._tokens -= cost
-        self._promised = max(0, self._promised - cost)
+        self._promised_tokens = max(0, self._promised_tokens - cost)
         self.running += 1
         return None
 
     def release(self, now_ms: float) -> None:
         """Record the end of a request."""
         self.running = max(0, self.running - 1)
-        self._waiting = max(0, self._waiting - 1)
+        self._refused_waiting = max(0, self._refused_waiting - 1)
         interval_ms = now_ms - self._released_ms
         self._released_ms = now_ms
         change_ms = interval_ms - self._release_interval_ms
@@ -128,7 +132,7 @@
 
     def wanted(self, now_ms: float) -> float:
         """Return the share of the limits that the demand here requires."""
-        self._fill(now_ms)
+        self._refill(now_ms)
         per_s = self._demand * _MS_PER_S / DEMAND_WINDOW_MS
         return max(
             per_s / self.team.requests_per_s,
@@ -143,12 +147,12 @@
     @property
     def floor(self) -> float:
         """Return the share that needs no lease."""
-        return floor_share(self._entry_count) / self._entry_count
+        return floor_fraction(self._entry_count) / self._entry_count
 
     def needs_lease(self, now_ms: float) -> bool:
         """Return whether more than half of what is allowed is in use."""
-        self._fill(now_ms)
-        half_depth = self._depth(self._rate(now_ms)) / 2
+        self._refill(now_ms)
+        half_depth = self._bucket_size(self._rate(now_ms)) / 2
         half_running = self._allowed_running(now_ms) / 2
         return self._tokens < half_depth or self.running > half_running
 
@@ -158,7 +162,7 @@
 
     def is_idle(self, now_ms: float) -> bool:
         """Return whether the team can be removed without loss of state."""
-        is_full = self._tokens >= self._depth(self._rate(now_ms))
+        is_full = self._tokens >= self._bucket_size(self._rate(now_ms))
         is_leased = self._valid_lease(now_ms) > 0
         return not self.running and not is_leased and is_full
 
@@ -173,26 +177,26 @@
         share = self.floor + self._valid_lease(now_ms)
         return max(1, share * self.team.concurrent_generations)
 
-    def _fill(self, now_ms: float) -> None:
+    def _refill(self, now_ms: float) -> None:
         elapsed_ms = now_ms - self._filled_ms
         if elapsed_ms <= 0:
             return
-        gained = self._gained(now_ms)
+        gained = self._earned_tokens(now_ms)
         self._filled_ms = now_ms
         rate = self._rate(now_ms)
-        filled = min(self._tokens + gained, self._depth(rate))
-        self._tokens = max(filled, min(self._tokens, self._depth(rate)))
-        self._promised = max(0, self._promised - gained)
+        filled = min(self._tokens + gained, self._bucket_size(rate))
+        self._tokens = max(filled, min(self._tokens, self._bucket_size(rate)))
+        self._promised_tokens = max(0, self._promised_tokens - gained)
         self._demand *= math.exp(-elapsed_ms / DEMAND_WINDOW_MS)
 
-    def _gained(self, now_ms: float) -> float:
+    def _earned_tokens(self, now_ms: float) -> float:
         leased_ms = min(now_ms, self.lease_until_ms) - self._filled_ms
         leased = self.leased * max(0, leased_ms)
         floor = self.floor * (now_ms - self._filled_ms)
         return (leased + floor) * self.team.requests_per_s / _MS_PER_S
 
-    def _depth(self, rate: float) -> float:
-        return max(FLOOR_BURST, rate * BURST_MS / _MS_PER_S)
+    def _bucket_size(self, rate: float) -> float:
+        return max(MIN_BURST_REQUESTS, rate * BURST_MS / _MS_PER_S)
 
 
 def _wait_ms(missing: float, rate: float) -> int:
--- a/bergamotthread/process/shares/shares.py
+++ b/bergamotthread/process/shares/shares.py
@@ -11,14 +11,14 @@
 from bergamotthread.errors import Step
 from bergamotthread.process.overload.byte_budget import ByteBudget
 from bergamotthread.process.shares.share_home import (
-    HEADROOM,
+    DEMAND_HEADROOM,
     LEASE_MS,
     ShareHome,
 )
 from bergamotthread.process.shares.share_usage import (
+    ExceededLimit,
     ShareUsage,
-    Shortage,
-    floor_share,
+    floor_fraction,
 )
 from bergamotthread.request.refusal import Ran, ReasonCode, Refusal
 from bergamotthread.version.objects import Team
@@ -32,11 +32,11 @@
 )
 
 TICK_MS = 1000
-RENEW_MS = 5000
-RENEW_CONTENDED_MS = 2000
+RENEW_INTERVAL_MS = 5000
+RENEW_URGENT_INTERVAL_MS = 2000
 # Ticks that are this far apart mean that the process was paused.
-PAUSE_MS = 2000
-FORGET_INTERVAL_MS = 10_000
+PAUSE_DETECTION_MS = 2000
+CLEANUP_INTERVAL_MS = 10_000
 BYTES_PER_S = 6144
 BURST_BYTES = 12_288
 # Part of the burst that is kept for answers to the requests of other entries.
@@ -45,9 +45,9 @@
 MESSAGE_BYTES = 90
 TEAM_BYTES = 28
 # No lease is requested for demand up to this fraction of the floor.
-FLOOR_USE = 0.5
+FLOOR_DEMAND_FRACTION = 0.5
 # A lease is reduced early if less than this fraction of it is needed.
-KEPT_USE = 0.7
+MIN_USED_LEASE_FRACTION = 0.7
 
 
 class EntryView(Protocol):
@@ -56,7 +56,7 @@
     def responsive_entries(self) -> tuple[str, ...]:
         """Return the responsive entries, including the own one."""
 
-    def reachable_share(self) -> float:
+    def reachable_fraction(self) -> float:
         """Return the fraction of all entries that respond."""
 
 
@@ -104,8 +104,8 @@
         self._usage_by_team: dict[str, ShareUsage] = {}
         self._request_by_home: dict[str, _Request] = {}
         self._active: set[str] = set()
-        self._asked_ms_by_team: dict[str, float] = {}
-        self._last_by_entry: dict[str, tuple[int, int]] = {}
+        self._requested_ms_by_team: dict[str, float] = {}
+        self._last_request_by_entry: dict[str, tuple[int, int]] = {}
         self._budget = ByteBudget(BYTES_PER_S, BURST_BYTES, now_ms)
         self._ticked_ms = now_ms
 
@@ -143,7 +143,7 @@
             return _unknown_team(team)
         usage = self._usage(published)
         self._active.add(team)
-        shortage = usage.take(cost, self._clock.now_ms())
+        shortage = usage.try_start(cost, self._clock.now_ms())
         if shortage is None:
             self.counters.admitted += 1
             return None
@@ -164,9 +164,9 @@
             case ShareGrants() as grants:
                 self._apply_grants(envelope.sender, grants)
 
-    def note_doubted(self) -> None:
+    def record_suspected(self) -> None:
         """Record that other entries suspected this one for a while."""
-        self.home.note_doubted(self._clock.now_ms())
+        self.home.record_suspected(self._clock.now_ms())
 
     async def run(self) -> None:
         """Renew leases until cancelled."""
@@ -177,13 +177,13 @@
     def tick(self) -> None:
         """Request the leases that are due."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._ticked_ms >= PAUSE_MS:
-            self.note_doubted()
+        if now_ms - self._ticked_ms >= PAUSE_DETECTION_MS:
+            self.record_suspected()
         if (
-            now_ms // FORGET_INTERVAL_MS
-            != self._ticked_ms // FORGET_INTERVAL_MS
+            now_ms // CLEANUP_INTERVAL_MS
+            != self._ticked_ms // CLEANUP_INTERVAL_MS
         ):
-            self._forget_idle(now_ms)
+            self._remove_idle(now_ms)
         self._ticked_ms = now_ms
         self.home.apply_view(self._view.responsive_entries(), now_ms)
         demands_by_home: dict[str, list[TeamDemand]] = {}
@@ -193,7 +193,7 @@
                 _demand(name, usage, now_ms)
             )
         for home, demands in demands_by_home.items():
-            self._ask(home, tuple(demands), now_ms)
+            self._request_leases(home, tuple(demands), now_ms)
 
     def _due_teams(self, now_ms: float) -> list[str]:
         """Return the teams whose lease is due, in order of falling demand."""
@@ -217,20 +217,22 @@
     def _entry_count(self) -> int:
         responsive_count = len(self._view.responsive_entries())
         return math.ceil(
-            responsive_count / max(self._view.reachable_share(), 1e-3)
+            responsive_count / max(self._view.reachable_fraction(), 1e-3)
         )
 
     def _is_due(self, name: str, usage: ShareUsage, now_ms: float) -> bool:
-        asked_ms = self._asked_ms_by_team.get(name, -math.inf)
+        asked_ms = self._requested_ms_by_team.get(name, -math.inf)
         wanted = usage.wanted(now_ms)
         held = usage.held(now_ms)
         is_short = wanted > held + usage.floor
-        has_surplus = wanted * HEADROOM < held * KEPT_USE
+        has_surplus = wanted * DEMAND_HEADROOM < held * MIN_USED_LEASE_FRACTION
         is_urgent = usage.contended or is_short or has_surplus
-        interval_ms = RENEW_CONTENDED_MS if is_urgent else RENEW_MS
+        interval_ms = (
+            RENEW_URGENT_INTERVAL_MS if is_urgent else RENEW_INTERVAL_MS
+        )
         return now_ms - asked_ms >= interval_ms
 
-    def _ask(
+    def _request_leases(
         self,
         home: str,
         demands: tuple[TeamDemand, ...],
@@ -239,22 +241,22 @@
         if home == self._transport.address:
             for demand in demands:
                 self._apply_share(self._grant(home, demand), LEASE_MS, now_ms)
-                self._asked_ms_by_team[demand.team] = now_ms
+                self._requested_ms_by_team[demand.team] = now_ms
             return
-        if not self._may_ask(len(demands), now_ms):
+        if not self._may_request(len(demands), now_ms):
             return
         previous = self._request_by_home.get(home)
         sequence = previous.sequence + 1 if previous else 1
         self._request_by_home[home] = _Request(sequence, now_ms)
         for demand in demands:
-            self._asked_ms_by_team[demand.team] = now_ms
+            self._requested_ms_by_team[demand.team] = now_ms
         self._transport.send(home, ShareRequests(sequence, demands))
 
     def _answer(self, envelope: Envelope, requests: ShareRequests) -> None:
         stamp = (envelope.incarnation, requests.sequence)
-        if stamp <= self._last_by_entry.get(envelope.sender, (0, 0)):
+        if stamp <= self._last_request_by_entry.get(envelope.sender, (0, 0)):
             return
-        self._last_by_entry[envelope.sender] = stamp
+        self._last_request_by_entry[envelope.sender] = stamp
         if not self._may_send(len(requests.demands), self._clock.now_ms()):
             return
         shares = tuple(
@@ -264,8 +266,8 @@
         self._transport.send(envelope.sender, grants)
 
     def _grant(self, entry: str, demand: TeamDemand) -> TeamShare:
-        reachable_fraction = self._view.reachable_share()
-        pool = (1 - floor_share(self._entry_count())) * reachable_fraction
+        reachable_fraction = self._view.reachable_fraction()
+        pool = (1 - floor_fraction(self._entry_count())) * reachable_fraction
         return self.home.grant(entry, demand, pool, self._clock.now_ms())
 
     def _apply_grants(self, home: str, grants: ShareGrants) -> None:
@@ -287,7 +289,7 @@
             now_ms = self._clock.now_ms()
             usage.set_lease(share.share, from_ms + lease_ms, now_ms)
 
-    def _may_ask(self, team_count: int, now_ms: float) -> bool:
+    def _may_request(self, team_count: int, now_ms: float) -> bool:
         remaining_bytes = self._budget.available(now_ms) - _byte_count(
             team_count
         )
@@ -302,21 +304,21 @@
         self.counters.unsent += 1
         return False
 
-    def _forget_idle(self, now_ms: float) -> None:
-        self.home.forget_idle(now_ms)
+    def _remove_idle(self, now_ms: float) -> None:
+        self.home.remove_idle(now_ms)
         entry_count = self._entry_count()
         for name, usage in tuple(self._usage_by_team.items()):
             usage.resize(usage.team, entry_count, now_ms)
             if usage.is_idle(now_ms):
                 self._usage_by_team.pop(name)
-                self._asked_ms_by_team.pop(name, None)
+                self._requested_ms_by_team.pop(name, None)
 
-    def _refusal(self, team: Team, shortage: Shortage) -> Refusal:
-        limit = getattr(team, shortage.limit)
+    def _refusal(self, team: Team, shortage: ExceededLimit) -> Refusal:
+        limit = getattr(team, shortage.limit_name)
         return Refusal(
             reason=ReasonCode.OVER_LIMIT,
             detail=(
-                f'team {team.name} exceeds its {shortage.limit} of {limit}; '
+                f'team {team.name} exceeds its {shortage.limit_name} of {limit}; '
                 f'this entry may use {shortage.allowed:.3g} of it'
             ),
             step=Step.ADMIT,
@@ -325,8 +327,8 @@
             decided_by=f'teams/{team.name}',
             retry_after_ms=shortage.retry_after_ms,
             figures={
-                shortage.limit: limit,
-                f'{shortage.limit}_here': shortage.allowed,
+                shortage.limit_name: limit,
+                f'{shortage.limit_name}_here': shortage.allowed,
             },
             team=team.name,
         )
@@ -343,9 +345,9 @@
 def _demand(name: str, usage: ShareUsage, now_ms: float) -> TeamDemand:
     """Return the demand of a team, after reducing its lease to that."""
     wanted = usage.wanted(now_ms)
-    if wanted <= usage.floor * FLOOR_USE:
+    if wanted <= usage.floor * FLOOR_DEMAND_FRACTION:
         wanted = 0
-    usage.reduce_lease(wanted * HEADROOM, now_ms)
+    usage.reduce_lease(wanted * DEMAND_HEADROOM, now_ms)
     return TeamDemand(name, wanted, usage.held(now_ms))
 
 
--- a/bergamotthread/process/shares/team_usage.py
+++ b/bergamotthread/process/shares/team_usage.py
@@ -66,48 +66,48 @@
     _usage_by_team: OrderedDict[str, Usage] = field(default_factory=OrderedDict)
     _weight_by_team: dict[str, float] = field(default_factory=dict)
     _seen_ms_by_team: dict[str, float] = field(default_factory=dict)
-    _weight: float = 0
+    _total_weight: float = 0
 
     def offer(self, team: str, now_ms: float) -> None:
         """Count a request before it is decided on."""
-        self._see(team, now_ms).offered += 1
+        self._touch(team, now_ms).offered += 1
         self.total.offered += 1
 
     def add(self, team: str, change: int, now_ms: float) -> None:
         """Change the requests in flight of a team."""
-        self._see(team, now_ms).in_flight += change
+        self._touch(team, now_ms).in_flight += change
         self.total.in_flight += change
 
-    def share(self, team: str, now_ms: float) -> TeamShare:
+    def relative_usage(self, team: str, now_ms: float) -> TeamShare:
         """Return the current usage of a team compared with the others."""
-        usage = self._see(team, now_ms)
+        usage = self._touch(team, now_ms)
         weight = self._weight_by_team[team]
-        others_weight = max(self._weight - weight, WEIGHT_MIN)
+        others_weight = max(self._total_weight - weight, WEIGHT_MIN)
         scale = weight / others_weight
         return TeamShare(
             usage=usage,
-            part=weight / self._weight,
+            part=weight / self._total_weight,
             total_smoothed=self.total.smoothed,
             others_mean_offered=(self.total.offered - usage.offered) * scale,
             others_mean_smoothed=(self.total.smoothed - usage.smoothed) * scale,
         )
 
-    def _see(self, team: str, now_ms: float) -> Usage:
+    def _touch(self, team: str, now_ms: float) -> Usage:
         usage = self._usage_by_team.get(team)
         if usage is None:
             usage = Usage(now_ms)
             self._usage_by_team[team] = usage
             weight = max(self.weight_of(team), WEIGHT_MIN)
             self._weight_by_team[team] = weight
-            self._weight += weight
+            self._total_weight += weight
         self._seen_ms_by_team[team] = now_ms
         self._usage_by_team.move_to_end(team)
         usage.advance(now_ms)
         self.total.advance(now_ms)
-        self._forget_idle(now_ms - ACTIVE_TEAM_MS)
+        self._remove_idle(now_ms - ACTIVE_TEAM_MS)
         return usage
 
-    def _forget_idle(self, since_ms: float) -> None:
+    def _remove_idle(self, since_ms: float) -> None:
         """Remove teams not seen since then, least recently seen first."""
         oldest = next(iter(self._usage_by_team))
         while self._seen_ms_by_team[oldest] < since_ms:
@@ -117,5 +117,5 @@
             else:
                 self._usage_by_team.pop(oldest)
                 self._seen_ms_by_team.pop(oldest)
-                self._weight -= self._weight_by_team.pop(oldest)
+                self._total_weight -= self._weight_by_team.pop(oldest)
             oldest = next(iter(self._usage_by_team))
--- a/bergamotthread/process/store/store_client.py
+++ b/bergamotthread/process/store/store_client.py
@@ -23,10 +23,10 @@
     StoreConflictError,
     StoreUnavailableError,
 )
-from bergamotthread.process.overload.circuit import Circuit
+from bergamotthread.process.overload.circuit import CircuitBreaker
 from bergamotthread.process.overload.retry_credit import RetryCredit
 from bergamotthread.process.settings import PlatformSettings
-from bergamotthread.process.shares.rate_share import RateShare
+from bergamotthread.process.shares.rate_share import RateLimiter
 from bergamotthread.process.store.platform import (
     HostEntry,
     HostList,
@@ -97,9 +97,9 @@
     rng: random.Random = field(default_factory=random.Random)
 
     def __post_init__(self) -> None:
-        self.circuit = Circuit(self.clock, rng=self.rng)
-        self.reads = RateShare(self.clock, self.limits.reads_per_s)
-        self.writes = RateShare(self.clock, self.limits.writes_per_s)
+        self.circuit = CircuitBreaker(self.clock, rng=self.rng)
+        self.reads = RateLimiter(self.clock, self.limits.reads_per_s)
+        self.writes = RateLimiter(self.clock, self.limits.writes_per_s)
         self.budget = RetryCredit()
         self._slots = asyncio.Semaphore(self.limits.concurrent)
 
@@ -137,7 +137,7 @@
 
     async def _pass(
         self,
-        share: RateShare,
+        share: RateLimiter,
         use: StoreUse,
         access: _Access[_Answer],
     ) -> _Answer:
@@ -149,12 +149,12 @@
             waited_ms = self.clock.now_ms() - started_ms
             return await self._ask(access, self.limits.timeout_ms - waited_ms)
 
-    async def _admit(self, share: RateShare, use: StoreUse) -> None:
-        if not self.circuit.ready:
+    async def _admit(self, share: RateLimiter, use: StoreUse) -> None:
+        if not self.circuit.is_ready:
             raise _not_asked('circuit is open')
         granted = await share.acquire(
             preferred=use is not StoreUse.AUDIT,
-            limit_ms=self.limits.timeout_ms / 2,
+            timeout_ms=self.limits.timeout_ms / 2,
         )
         if not granted:
             raise _not_asked(f'rate share of {share.per_s}/s is used up')
--- a/tests/placement_fixtures.py
+++ b/tests/placement_fixtures.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class ManualTime:
+class ManualClock:
     """Clock in seconds that a test advances."""
 
     elapsed_s: float = 1000
--- a/tests/test_agent_roster.py
+++ b/tests/test_agent_roster.py
@@ -35,10 +35,10 @@
 def test_frames_of_old_processes_and_unpublished_agents_are_ignored() -> None:
     roster = AgentRoster(Clock(lambda: 5, lambda: 0))
     roster.apply_version(_version('a', 'b'))
-    assert roster.note_heard('a', 2)
-    assert not roster.note_heard('a', 1)
-    assert not roster.note_heard('c', 1)
-    assert roster.silent(['a', 'b'], 1000) == {'b'}
+    assert roster.record_frame('a', 2)
+    assert not roster.record_frame('a', 1)
+    assert not roster.record_frame('c', 1)
+    assert roster.silent_agents(['a', 'b'], 1000) == {'b'}
     roster.apply_version(_version('b'))
     roster.apply_version(_version('a'))
-    assert roster.note_heard('a', 1)
+    assert roster.record_frame('a', 1)
--- a/tests/test_entry_control.py
+++ b/tests/test_entry_control.py
@@ -122,7 +122,7 @@
     holders = [
         address
         for address, control in deployment.controls.items()
-        if control.lease.valid()
+        if control.lease.is_valid()
     ]
     assert len(holders) == 1
     assert deployment.ordered == set(holders)
@@ -131,7 +131,7 @@
     deployment.crash(lost)
     await deployment.clock.sleep_ms(90_000)
     controls = deployment.controls.values()
-    assert sum(control.lease.valid() for control in controls) == 1
+    assert sum(control.lease.is_valid() for control in controls) == 1
     for control in controls:
         assert len(control.membership.live_entries()) == 11
     assert _is_current(deployment)
--- a/tests/test_member_table.py
+++ b/tests/test_member_table.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from bergamotthread.process.membership.member_table import (
-    SUSPICION_MS,
-    TOMBSTONE_MS,
+    SUSPICION_TIMEOUT_MS,
+    TOMBSTONE_RETENTION_MS,
     MemberTable,
     member_incarnation,
 )
@@ -90,25 +90,25 @@
     table.merge(_member('a', 5), 0)
     assert table.suspect('a', 100) == _member('a', 5, SUSPECT)
     assert table.suspect('a', 200) is None
-    table.note_heard('a', 5000)
-    assert not table.expire(SUSPICION_MS + 4999)
-    assert table.expire(SUSPICION_MS + 5000) == (_member('a', 5, DEAD),)
+    table.record_heard('a', 5000)
+    assert not table.expire(SUSPICION_TIMEOUT_MS + 4999)
+    assert table.expire(SUSPICION_TIMEOUT_MS + 5000) == (_member('a', 5, DEAD),)
 
 
 def test_leaving_member_that_is_silent_is_removed() -> None:
     table = _table()
     table.merge(_member('a', 5, LEAVING), 0)
     table.suspect('a', 0)
-    assert table.expire(SUSPICION_MS) == (_member('a', 5, DEAD),)
+    assert table.expire(SUSPICION_TIMEOUT_MS) == (_member('a', 5, DEAD),)
 
 
 def test_own_pause_extends_the_suspicion_of_others() -> None:
     table = _table()
     table.merge(_member('a', 5), 0)
     table.suspect('a', 0)
-    table.postpone(30_000)
-    assert not table.expire(SUSPICION_MS + 29_999)
-    assert table.expire(SUSPICION_MS + 30_000)
+    table.extend_timers(30_000)
+    assert not table.expire(SUSPICION_TIMEOUT_MS + 29_999)
+    assert table.expire(SUSPICION_TIMEOUT_MS + 30_000)
 
 
 def test_removed_member_stays_removed_until_its_tombstone_expires() -> None:
@@ -116,9 +116,9 @@
     table.merge(_member('a', 5), 0)
     table.merge(_member('a', 5, DEAD), 0)
     assert not table.add_listed(_member('a', 0), 1000)
-    table.expire(TOMBSTONE_MS + 999)
+    table.expire(TOMBSTONE_RETENTION_MS + 999)
     assert table.get('a') == _member('a', 5, DEAD)
-    table.expire(TOMBSTONE_MS + 1000)
+    table.expire(TOMBSTONE_RETENTION_MS + 1000)
     assert table.get('a') is None
     assert table.add_listed(_member('a', 0), 0)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,8 +4,10 @@
 import pytest
 
 from benchmarks.membership import Cluster
-from bergamotthread.process.membership.member_table import SUSPICION_MS
-from bergamotthread.process.membership.membership import UNKNOWN_SHARE
+from bergamotthread.process.membership.member_table import SUSPICION_TIMEOUT_MS
+from bergamotthread.process.membership.membership import (
+    UNKNOWN_REACHABLE_FRACTION,
+)
 from bergamotthread.testing.virtual_loop import run_virtual
 from bergamotthread.wire.messages import (
     Envelope,
@@ -28,7 +30,7 @@
     await cluster.clock.sleep_ms(SETTLE_MS)
     cluster.crash(addresses[0])
     gone_ms = await cluster.time_until_known(addresses[0], live=False)
-    assert SUSPICION_MS <= gone_ms <= SUSPICION_MS + DETECT_MS
+    assert SUSPICION_TIMEOUT_MS <= gone_ms <= SUSPICION_TIMEOUT_MS + DETECT_MS
     cluster.add(0, incarnation=2)
     back_ms = await cluster.time_until_known(addresses[0], live=True)
     assert back_ms <= DETECT_MS
@@ -103,7 +105,7 @@
     suspected = msgspec.structs.replace(known, state=MemberState.SUSPECT)
     paused.on_message(Envelope(addresses[2], 1, Probe(1, (suspected,))))
     cluster.pause(addresses[0])
-    await cluster.clock.sleep_ms(SUSPICION_MS + 5000)
+    await cluster.clock.sleep_ms(SUSPICION_TIMEOUT_MS + 5000)
     cluster.resume(addresses[0])
     await cluster.clock.sleep_ms(SETTLE_MS)
     cluster.close()
@@ -155,16 +157,16 @@
 async def _reachable_share() -> None:
     cluster, addresses = _make(4)
     first = cluster.members_by_address[addresses[0]]
-    assert first.reachable_share() == UNKNOWN_SHARE
+    assert first.reachable_fraction() == UNKNOWN_REACHABLE_FRACTION
     await cluster.clock.sleep_ms(SETTLE_MS)
     member = cluster.members_by_address[addresses[0]]
-    assert member.reachable_share() == 1
+    assert member.reachable_fraction() == 1
     for other in addresses[1:]:
         cluster.network.cut_both(addresses[0], other)
     await cluster.clock.sleep_ms(DETECT_MS)
-    assert member.reachable_share() == 1 / 4
-    await cluster.clock.sleep_ms(3 * SUSPICION_MS)
-    assert member.reachable_share() == 1 / 4
+    assert member.reachable_fraction() == 1 / 4
+    await cluster.clock.sleep_ms(3 * SUSPICION_TIMEOUT_MS)
+    assert member.reachable_fraction() == 1 / 4
     cluster.close()
 
 
--- a/tests/test_order_gate.py
+++ b/tests/test_order_gate.py
@@ -49,7 +49,7 @@
         self, fence: int, number: int = 1, region: str = 'r0'
     ) -> bool:
         order = Order('o', fence, 'load', Pin('m', '1'), region, number)
-        return (await self.gate.carry_out(order)).accepted
+        return (await self.gate.handle_order(order)).accepted
 
 
 async def _first_order() -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -9,7 +9,7 @@
     OrderAction,
     PlannedOrder,
     RegionOrders,
-    WeightRate,
+    WeightStoreRate,
     plan_orders,
 )
 from bergamotthread.process.orders.region_lease import RegionLease
@@ -89,7 +89,7 @@
 
 
 async def _other_region() -> list[int]:
-    bench = _Bench(('a',), WeightRate())
+    bench = _Bench(('a',), WeightStoreRate())
     for orders in bench.orders:
         orders.apply_version(_version({'a': (ONE,)}, 'r1'))
     await bench.run(20_000, 0)
@@ -113,7 +113,7 @@
 class _Bench:
     """Two candidates for the lease and some agents."""
 
-    def __init__(self, agents: tuple[str, ...], rate: WeightRate) -> None:
+    def __init__(self, agents: tuple[str, ...], rate: WeightStoreRate) -> None:
         self.clock = Clock.from_loop(asyncio.get_running_loop())
         self.network = MemoryNetwork(delay_ms=20)
         self.platform = MemoryPlatform(self.clock)
@@ -142,7 +142,7 @@
         transport = self.network.transport(agent)
 
         async def carry_out(envelope: Envelope, order: Order) -> None:
-            reply = await self.gates[agent].carry_out(order)
+            reply = await self.gates[agent].handle_order(order)
             transport.send(envelope.sender, reply)
 
         def receive(envelope: Envelope) -> None:
@@ -174,7 +174,7 @@
 
 
 async def _paused_holder(holder_checks: bool) -> None:
-    bench = _Bench(('a', 'b'), WeightRate())
+    bench = _Bench(('a', 'b'), WeightStoreRate())
     bench.publish(ONE)
     await bench.run(20_000, 0, 1)
     assert bench.executed() == [1, 1]
@@ -200,7 +200,7 @@
 
 async def _weight_rate() -> list[int]:
     agents = tuple(f'a{number}' for number in range(10))
-    bench = _Bench(agents, WeightRate(LOAD_BYTES / 10, 2 * LOAD_BYTES))
+    bench = _Bench(agents, WeightStoreRate(LOAD_BYTES / 10, 2 * LOAD_BYTES))
     bench.publish(ONE)
     counts = []
     for _ in range(3):
@@ -215,7 +215,7 @@
 
 async def _many() -> int:
     agents = tuple(f'a{number}' for number in range(50))
-    bench = _Bench(agents, WeightRate())
+    bench = _Bench(agents, WeightStoreRate())
     bench.publish(ONE)
     await bench.leases[0].step()
     bench.orders[0].tick()
@@ -228,7 +228,7 @@
 
 
 async def _unanswered() -> int:
-    bench = _Bench(('a',), WeightRate())
+    bench = _Bench(('a',), WeightStoreRate())
     bench.publish(ONE)
     bench.network.cut_both('e0', 'a')
     await bench.run(60_000, 0)
@@ -242,7 +242,7 @@
 
 
 async def _newer_fence() -> None:
-    bench = _Bench(('a',), WeightRate())
+    bench = _Bench(('a',), WeightStoreRate())
     bench.publish(ONE)
     await bench.run(20_000, 0)
     assert bench.leases[0].valid()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,10 +9,10 @@
     overload_refusal,
 )
 from bergamotthread.request.refusal import Ran, ReasonCode
-from tests.placement_fixtures import ManualTime
+from tests.placement_fixtures import ManualClock
 
 
-def _guard(time: ManualTime, **weights: float) -> OverloadGuard:
+def _guard(time: ManualClock, **weights: float) -> OverloadGuard:
     return OverloadGuard(
         time.clock,
         weight_of=lambda team: weights.get(team, 1),
@@ -41,7 +41,7 @@
 
 
 def test_all_teams_are_refused_above_the_maximum_utilisation() -> None:
-    guard = _guard(ManualTime())
+    guard = _guard(ManualClock())
     verdict = guard.check('t', 1.2 * math.e)
     assert isinstance(verdict, Overloaded)
     assert verdict.retry_after_ms == pytest.approx(guard.run_ms, rel=0.01)
@@ -52,7 +52,7 @@
 
 
 def test_retry_after_follows_the_measured_run_time() -> None:
-    guard = _guard(ManualTime())
+    guard = _guard(ManualClock())
     before = guard.check('t', 2)
     for _ in range(100):
         guard.record_start('t')
@@ -65,13 +65,13 @@
 
 def test_equal_teams_are_not_limited_below_the_maximum() -> None:
     demand = dict.fromkeys('abcd', 3)
-    admitted = _offer(_guard(ManualTime()), ManualTime(), demand, 1.1)
+    admitted = _offer(_guard(ManualClock()), ManualClock(), demand, 1.1)
     assert set(admitted.values()) == {90}
 
 
 @pytest.mark.parametrize('greedy', [20, 60])
 def test_greedy_team_is_limited_to_its_share(greedy: int) -> None:
-    time = ManualTime()
+    time = ManualClock()
     demand = {'greedy': greedy, 'a': 2, 'b': 2, 'c': 2}
     admitted = _offer(_guard(time), time, demand)
     assert [admitted[team] for team in 'abc'] == [60, 60, 60]
@@ -79,21 +79,21 @@
 
 
 def test_weight_raises_the_share() -> None:
-    time = ManualTime()
+    time = ManualClock()
     demand = {'large': 60, 'a': 2, 'b': 2, 'c': 2}
     admitted = _offer(_guard(time, large=10), time, demand)
     assert admitted['large'] >= 8 * 60
 
 
 def test_greedy_team_may_use_idle_upstreams() -> None:
-    time = ManualTime()
+    time = ManualClock()
     demand = {'greedy': 20, 'a': 2}
     admitted = _offer(_guard(time), time, demand, utilisation=0.3)
     assert admitted['greedy'] == 600
 
 
 def test_refusal_names_the_team_and_its_figures() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     _offer(guard, time, {'greedy': 60, 'a': 2, 'b': 2})
     verdict = guard.check('greedy', 0.8)
@@ -103,21 +103,21 @@
 
 
 def test_idle_teams_are_removed() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     _offer(guard, time, {f't{index}': 1 for index in range(50)}, seconds=2)
     time.advance_ms(120_000)
-    share = guard._teams.share('new', time.clock.now_ms())
+    share = guard._teams.relative_usage('new', time.clock.now_ms())
     assert share.part < 0.1
     for index in range(50):
         guard.record_end(f't{index}', 1000)
         guard.record_end(f't{index}', 1000)
     time.advance_ms(120_000)
-    assert guard._teams.share('new', time.clock.now_ms()).part == 1
+    assert guard._teams.relative_usage('new', time.clock.now_ms()).part == 1
 
 
 def test_single_team_that_ramps_up_is_limited_by_the_maximum_only() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     slots = 192
     running = 0
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -25,7 +25,7 @@
 from bergamotthread.testing.memory_platform import MemoryPlatform, MemoryTable
 from bergamotthread.testing.virtual_loop import run_virtual
 from bergamotthread.wire.messages import Pin, Quarantine
-from tests.placement_fixtures import ManualTime
+from tests.placement_fixtures import ManualClock
 
 _POISON = 666
 _SETTLED_MS = 6000
@@ -39,7 +39,7 @@
         self.confirmed.append(notice)
 
 
-def _guard(time: ManualTime) -> PoisonGuard:
+def _guard(time: ManualClock) -> PoisonGuard:
     return PoisonGuard(time.clock, _Sink())
 
 
@@ -67,7 +67,7 @@
 
 
 def test_request_is_quarantined_once_after_the_maximum_of_deaths() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     for index in range(COUNTED_DEATHS_MAX):
         assert not isinstance(guard.check(_POISON), Quarantined)
@@ -87,7 +87,7 @@
     It is isolated from the other suspect until it makes progress, and is never
     quarantined.
     """
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     innocent = 7
     _die(guard, time, 0, beside=(innocent,))
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize('order', [(0, 1, 2), (2, 0, 1)])
 def test_loss_of_a_failure_domain_quarantines_no_request(order) -> None:
     """The same requests run on three failure domains lost one by one."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     for round_index in range(COUNTED_DEATHS_MAX):
         for index in order:
@@ -132,7 +132,7 @@
 
 def test_simultaneous_loss_across_domains_makes_no_suspect() -> None:
     """One upstream of each of several domains dies at the same time."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     _lose(guard, time, 4)
     assert guard.check(_POISON) == Clear()
@@ -142,7 +142,7 @@
 
 def test_few_simultaneous_losses_across_domains_make_a_suspect() -> None:
     """Three deaths at once are below the limit for a common cause."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     _lose(guard, time, 3)
     assert guard.check(_POISON) == Suspect(1)
@@ -153,7 +153,7 @@
 
     Only deaths in the same failure domain excuse a request, so each counts.
     """
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     expected = (Clear(), Suspect(2))
     for verdict in expected:
@@ -167,7 +167,7 @@
 
 def test_death_of_an_upstream_without_requests_shows_a_domain_loss() -> None:
     """The second upstream of the domain ran no request of this process."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
     guard.record_death('agent0', 'd0')
@@ -181,7 +181,7 @@
 
     In a domain of ten upstreams this does not excuse the first request.
     """
-    time = ManualTime()
+    time = ManualClock()
     guard = PoisonGuard(time.clock, _Sink(), domain_size=lambda domain: 10)
     for index in range(COUNTED_DEATHS_MAX):
         guard.record_start(f'agent{index}', 'g', _POISON)
@@ -192,7 +192,7 @@
 
 
 def test_loss_of_a_large_domain_quarantines_no_request() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = PoisonGuard(time.clock, _Sink(), domain_size=lambda domain: 300)
     for index in range(300):
         guard.record_start(f'agent{index}', f'g{index}', index + 1)
@@ -202,7 +202,7 @@
 
 
 def test_attempt_that_a_dead_upstream_never_confirmed_is_not_charged() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
     for index in range(5):
@@ -214,7 +214,7 @@
 
 def test_request_that_crashes_one_domain_repeatedly_is_quarantined() -> None:
     """The deaths coincide, but each of the upstreams ran the request."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     for index in range(COUNTED_DEATHS_MAX):
         guard.record_start(f'agent{index}', 'g', _POISON)
@@ -226,7 +226,7 @@
 
 def test_quarantine_waits_until_the_last_death_is_certain_to_count() -> None:
     """The third death may still prove part of the loss of its domain."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     _die(guard, time, 0)
     _die(guard, time, 1)
@@ -241,7 +241,7 @@
 
 def test_request_that_crashes_after_output_is_quarantined_too() -> None:
     """Progress clears the counted deaths, but not all charged ones."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     for index in range(CHARGED_DEATHS_MAX):
         assert not isinstance(guard.check(_POISON), Quarantined)
@@ -253,7 +253,7 @@
 
 
 def test_completion_clears_all_charges() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     for index in range(CHARGED_DEATHS_MAX - 1):
         guard.record_start(f'agent{index}', 'g', _POISON)
@@ -268,7 +268,7 @@
 
 def test_repeated_charges_of_one_peer_count_once() -> None:
     """A resent charge replaces the earlier one; other peers' are added."""
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     guard.merge('entry1', Quarantine(_POISON, 1, confirmed=False))
     guard.merge('entry1', Quarantine(_POISON, 1, confirmed=False))
@@ -280,7 +280,7 @@
 
 
 def test_released_fingerprint_may_run_again() -> None:
-    guard = _guard(ManualTime())
+    guard = _guard(ManualClock())
     guard.merge('entry1', Quarantine(_POISON, 3, confirmed=True))
     assert isinstance(guard.check(_POISON), Quarantined)
     guard.release(_POISON)
@@ -288,7 +288,7 @@
 
 
 def test_only_changes_of_counted_deaths_are_sent() -> None:
-    time = ManualTime()
+    time = ManualClock()
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
     guard.record_death('agent0', 'd0')
--- a/tests/test_prefix_hash.py
+++ b/tests/test_prefix_hash.py
@@ -33,7 +33,9 @@
     view = PrefixView()
     view.record('a', known)
     assert view.covered_blocks('a', (1, 2, 3, 4)) == covered
-    assert view.holders((1, 2, 3, 4)) == ({'a'} if covered else set())
+    assert view.longest_prefix_agents((1, 2, 3, 4)) == (
+        {'a'} if covered else set()
+    )
 
 
 def test_least_recently_used_hashes_are_evicted_first() -> None:
@@ -43,21 +45,21 @@
     view.record('a', (4,))
     assert view.covered_blocks('a', (2,)) == 0
     assert view.covered_blocks('a', (1,)) == 1
-    assert view.holders((2,)) == set()
+    assert view.longest_prefix_agents((2,)) == set()
 
 
 def test_removed_agent_has_no_cached_prefix() -> None:
     view = PrefixView()
     view.record('a', (1, 2))
     view.record('b', (1,))
-    view.forget('a')
+    view.remove('a')
     assert view.covered_blocks('a', (1, 2)) == 0
-    assert view.holders((1, 2)) == {'b'}
+    assert view.longest_prefix_agents((1, 2)) == {'b'}
 
 
 def test_hashes_are_limited_to_what_the_engine_caches() -> None:
     view = PrefixView()
-    view.bound('a', 3 * PREFIX_BLOCK_TOKENS + 1)
+    view.limit_to_cache('a', 3 * PREFIX_BLOCK_TOKENS + 1)
     view.record('a', (1, 2, 3, 4))
     assert view.covered_blocks('a', (1,)) == 0
     assert view.covered_blocks('a', (2, 3, 4)) == 3
--- a/tests/test_region_lease.py
+++ b/tests/test_region_lease.py
@@ -6,7 +6,7 @@
 from bergamotthread.clock import Clock
 from bergamotthread.process.orders.region_lease import (
     LEASE_MS,
-    RENEW_MS,
+    RENEW_INTERVAL_MS,
     TAKE_OVER_MARGIN_MS,
     RegionLease,
 )
@@ -34,21 +34,21 @@
         while self.clock.now_ms() < until_ms:
             for lease in leases:
                 await lease.step()
-            await self.clock.sleep_ms(RENEW_MS)
+            await self.clock.sleep_ms(RENEW_INTERVAL_MS)
 
 
 async def _paused_holder() -> None:
     bench = _Bench(2)
     first, second = bench.leases
     await bench.steps(60_000, first, second)
-    assert first.valid()
+    assert first.is_valid()
     assert first.fence == 1
-    await bench.steps(TAKE_OVER_MS + RENEW_MS, second)
-    assert not first.valid()
-    assert second.valid()
+    await bench.steps(TAKE_OVER_MS + RENEW_INTERVAL_MS, second)
+    assert not first.is_valid()
+    assert second.is_valid()
     assert second.fence == 2
     await first.step()
-    assert not first.valid()
+    assert not first.is_valid()
 
 
 def test_paused_holder_loses_the_lease_and_the_fence_rises() -> None:
@@ -61,11 +61,11 @@
     await first.step()
     await second.step()
     await bench.clock.sleep_ms(LEASE_MS)
-    assert not first.valid()
+    assert not first.is_valid()
     await first.step()
-    assert not first.valid()
+    assert not first.is_valid()
     await bench.steps(TAKE_OVER_MS, first)
-    assert first.valid()
+    assert first.is_valid()
     assert first.fence == 2
 
 
@@ -80,10 +80,10 @@
     started_ms = bench.clock.now_ms()
     for _ in range(lost + 1):
         await lease.step()
-    assert lease.valid()
+    assert lease.is_valid()
     assert lease.fence == 1
     await bench.clock.sleep_ms(LEASE_MS - bench.clock.now_ms() + started_ms)
-    assert not lease.valid()
+    assert not lease.is_valid()
 
 
 @pytest.mark.parametrize('lost', [1, 2])
@@ -96,10 +96,10 @@
     await bench.steps(20_000, *bench.leases)
     bench.platform.faults.down = True
     await bench.steps(600_000, *bench.leases)
-    assert not any(lease.valid() for lease in bench.leases)
+    assert not any(lease.is_valid() for lease in bench.leases)
     bench.platform.faults.down = False
-    await bench.steps(TAKE_OVER_MS + 2 * RENEW_MS, *bench.leases)
-    assert sorted(lease.valid() for lease in bench.leases) == [False, True]
+    await bench.steps(TAKE_OVER_MS + 2 * RENEW_INTERVAL_MS, *bench.leases)
+    assert sorted(lease.is_valid() for lease in bench.leases) == [False, True]
 
 
 def test_lease_is_held_again_after_an_outage() -> None:
@@ -116,10 +116,10 @@
         for number, lease in enumerate(bench.leases):
             if source.random() < 0.6:
                 await lease.step()
-            if lease.valid():
+            if lease.is_valid():
                 holders_by_fence.setdefault(lease.fence, number)
                 assert holders_by_fence[lease.fence] == number
-        assert sum(lease.valid() for lease in bench.leases) <= 1
+        assert sum(lease.is_valid() for lease in bench.leases) <= 1
         await bench.clock.sleep_ms(source.choice([100, 3000, 9000]))
     return len(holders_by_fence)
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -7,10 +7,10 @@
     RetryBudget,
     RetryLimits,
 )
-from tests.placement_fixtures import ManualTime
+from tests.placement_fixtures import ManualClock
 
 
-def _budget(time: ManualTime, process_burst: float = 100) -> RetryBudget:
+def _budget(time: ManualClock, process_burst: float = 100) -> RetryBudget:
     return RetryBudget(
         time.clock,
         RetryLimits(per_success=0.5, per_s=0.5, burst=2, per_in_flight=0.5),
@@ -24,7 +24,7 @@
 
 
 def test_retry_beyond_the_burst_is_denied_with_an_exact_retry_after() -> None:
-    time = ManualTime()
+    time = ManualClock()
     budget = _budget(time)
     assert _granted(budget, 5) == 2
     denied = budget.spend('t', resume=True)
@@ -38,13 +38,13 @@
 
 
 def test_one_team_does_not_use_the_budget_of_another() -> None:
-    budget = _budget(ManualTime())
+    budget = _budget(ManualClock())
     assert _granted(budget, 9, 'large') == 2
     assert _granted(budget, 9, 'small') == 2
 
 
 def test_process_budget_limits_all_teams_together() -> None:
-    budget = _budget(ManualTime(), process_burst=3)
+    budget = _budget(ManualClock(), process_burst=3)
     granted = sum(_granted(budget, 2, f't{index}') for index in range(5))
     assert granted == 3
     denied = budget.spend('t9', resume=True)
@@ -54,7 +54,7 @@
 
 
 def test_successes_earn_retries() -> None:
-    budget = _budget(ManualTime())
+    budget = _budget(ManualClock())
     _granted(budget, 2)
     for _ in range(4):
         budget.record_start('t')
@@ -63,7 +63,7 @@
 
 
 def test_failures_earn_nothing() -> None:
-    budget = _budget(ManualTime())
+    budget = _budget(ManualClock())
     granted = 0
     for _ in range(50):
         budget.record_start('t')
@@ -79,7 +79,7 @@
     in_flight: int,
     granted: int,
 ) -> None:
-    budget = _budget(ManualTime())
+    budget = _budget(ManualClock())
     for _ in range(in_flight):
         budget.record_start('t')
     assert _granted(budget, 100) == granted
@@ -87,7 +87,7 @@
 
 def test_idle_teams_are_evicted_and_busy_ones_kept(monkeypatch) -> None:
     monkeypatch.setattr(retry_budget, 'TEAMS_MAX', 2)
-    budget = _budget(ManualTime())
+    budget = _budget(ManualClock())
     budget.record_start('busy')
     _granted(budget, 9, 'busy')
     for team in ('a', 'b', 'c'):
@@ -97,7 +97,7 @@
 
 
 def test_retries_after_declines_leave_a_reserve_for_resumes() -> None:
-    budget = _budget(ManualTime())
+    budget = _budget(ManualClock())
     assert isinstance(budget.spend('t', resume=False), Granted)
     denied = budget.spend('t', resume=False)
     assert isinstance(denied, Denied)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -6,7 +6,7 @@
 from bergamotthread.request.refusal import Ran, ReasonCode, RefusedError
 from bergamotthread.version.objects import Stop
 from bergamotthread.wire.messages import LoadReport, Pin
-from tests.placement_fixtures import ManualTime, placement_request, published
+from tests.placement_fixtures import ManualClock, placement_request, published
 
 
 def _placement(time, version=None, region='r0', **fields) -> ScoredPlacement:
@@ -22,12 +22,12 @@
 
 
 def test_own_region_is_preferred_while_it_is_idle() -> None:
-    placement = _placement(ManualTime())
+    placement = _placement(ManualClock())
     assert set(_chosen(placement)) <= {'a0', 'a2', 'a4'}
 
 
 def test_long_queue_outweighs_the_cost_of_cross_region_traffic() -> None:
-    placement = _placement(ManualTime())
+    placement = _placement(ManualClock())
     for agent in ('a0', 'a2', 'a4'):
         placement.record_load(agent, LoadReport(running=8, queued=20))
     for agent in ('a1', 'a3', 'a5'):
@@ -36,7 +36,7 @@
 
 
 def test_other_region_is_not_used_if_not_allowed() -> None:
-    placement = _placement(ManualTime(), published(upstreams=2), region='r1')
+    placement = _placement(ManualClock(), published(upstreams=2), region='r1')
     placement.record_loss('a1')
     request = placement_request(cross_region=False)
     with pytest.raises(RefusedError) as caught:
@@ -50,7 +50,7 @@
 
 def test_refused_resume_reports_that_work_may_have_run() -> None:
     """The caller must not repeat a request whose first attempt was lost."""
-    placement = _placement(ManualTime())
+    placement = _placement(ManualClock())
     with pytest.raises(RefusedError) as caught:
         placement.choose(placement_request(pin=Pin('x', '2'), resume=True))
     assert caught.value.refusal.ran is Ran.MAYBE
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize('way', ['report', 'plan', 'list', 'excluded', 'lost'])
 def test_unavailable_agent_gets_no_new_work(way: str) -> None:
-    time = ManualTime()
+    time = ManualClock()
     stops = (Stop('stop', address='a0', start_ms=900_000, deadline_ms=2**40),)
     version = published(stops=stops if way == 'plan' else ())
     placement = _placement(time, version)
@@ -76,7 +76,7 @@
 
 
 def test_planned_stop_excludes_the_agent_from_its_start_time() -> None:
-    time = ManualTime()
+    time = ManualClock()
     stop = Stop('stop', address='a0', start_ms=1_000_500, deadline_ms=2**40)
     placement = _placement(time, published(upstreams=1, stops=(stop,)))
     assert placement.choose(placement_request()) == 'a0'
@@ -86,7 +86,7 @@
 
 
 def test_lost_agent_is_used_again_once_heard_from() -> None:
-    placement = _placement(ManualTime(), published(upstreams=1))
+    placement = _placement(ManualClock(), published(upstreams=1))
     placement.record_loss('a0')
     with pytest.raises(RefusedError):
         placement.choose(placement_request())
@@ -101,7 +101,7 @@
 def test_failure_domain_is_avoided_after_losses(
     lost, resume: bool, avoided: bool
 ) -> None:
-    time = ManualTime()
+    time = ManualClock()
     placement = _placement(time, published(upstreams=16))
     for agent in lost:
         placement.record_loss(agent)
@@ -112,14 +112,14 @@
 
 
 def test_loss_of_a_whole_region_moves_work_to_the_other() -> None:
-    placement = _placement(ManualTime())
+    placement = _placement(ManualClock())
     for agent in ('a0', 'a2', 'a4'):
         placement.record_loss(agent)
     assert set(_chosen(placement, resume=True)) <= {'a1', 'a3', 'a5'}
 
 
 def test_idle_agent_with_the_longest_cached_prefix_is_chosen() -> None:
-    placement = _placement(ManualTime(), published(upstreams=40))
+    placement = _placement(ManualClock(), published(upstreams=40))
     placement.record_load('a6', LoadReport(cached_prefixes=(12,)))
     placement.record_load('a8', LoadReport(cached_prefixes=(11,)))
     chosen = _chosen(placement, prefix_hashes=(11, 12, 13, 14))
@@ -127,7 +127,7 @@
 
 
 def test_load_outweighs_prefix_affinity() -> None:
-    placement = _placement(ManualTime(), published(upstreams=40))
+    placement = _placement(ManualClock(), published(upstreams=40))
     busy = LoadReport(running=8, queued=9, cached_prefixes=(11, 12, 13))
     for index in range(0, 40, 2):
         placement.record_load(f'a{index}', LoadReport())
@@ -137,7 +137,7 @@
 
 def test_own_dispatches_spread_resumes_before_any_load_report() -> None:
     """Attempts resumed at once must not all go to the idlest upstream."""
-    placement = _placement(ManualTime(), published(upstreams=40, regions=1))
+    placement = _placement(ManualClock(), published(upstreams=40, regions=1))
     chosen: Counter[str] = Counter()
     for index in range(40):
         request = placement_request(f'g{index}', resume=True)
@@ -149,9 +149,9 @@
 
 
 def test_end_of_an_attempt_restores_the_score() -> None:
-    placement = _placement(ManualTime(), published(upstreams=1))
+    placement = _placement(ManualClock(), published(upstreams=1))
     request = placement_request()
-    (target,) = placement.eligible(request)
+    (target,) = placement.eligible_targets(request)
     before_ms = placement.score_ms(request, target)
     placement.record_dispatch('a0', request)
     assert placement.score_ms(request, target) > before_ms
@@ -160,10 +160,10 @@
 
 
 def test_estimate_of_a_stale_report_approaches_the_mean() -> None:
-    time = ManualTime()
+    time = ManualClock()
     placement = _placement(time, published(upstreams=2, regions=1))
     request = placement_request()
-    first, second = placement.eligible(request)
+    first, second = placement.eligible_targets(request)
     placement.record_load('a0', LoadReport(running=8, queued=10))
     placement.record_load('a1', LoadReport())
     fresh_ms = placement.score_ms(request, first)
@@ -174,7 +174,7 @@
 
 
 def test_engine_that_reports_a_low_prefill_rate_is_avoided() -> None:
-    placement = _placement(ManualTime(), published(upstreams=2, regions=1))
+    placement = _placement(ManualClock(), published(upstreams=2, regions=1))
     placement.record_load('a0', LoadReport(prefill_per_s=2000))
     placement.record_load('a1', LoadReport(prefill_per_s=8000))
     assert _chosen(placement) == {'a1': 60}
@@ -182,14 +182,14 @@
 
 def test_subset_limits_the_candidates() -> None:
     placement = _placement(
-        ManualTime(),
+        ManualClock(),
         subset=lambda pin, upstreams: upstreams[:1],
     )
     assert _chosen(placement) == {'a0': 60}
 
 
 def test_load_is_kept_when_a_version_is_published() -> None:
-    placement = _placement(ManualTime(), published(upstreams=2, regions=1))
+    placement = _placement(ManualClock(), published(upstreams=2, regions=1))
     placement.record_load('a0', LoadReport(draining=True))
     placement.publish(published(upstreams=3, regions=1))
     assert set(_chosen(placement)) == {'a1', 'a2'}
--- a/tests/test_share_home.py
+++ b/tests/test_share_home.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from bergamotthread.process.shares.share_home import (
-    HOLD_MS,
+    LEASE_HOLD_MS,
     LEASE_MS,
     ShareHome,
     home_of,
@@ -12,7 +12,7 @@
 
 TEAM = 't'
 POOL_SHARE = 0.9
-START_MS = HOLD_MS
+START_MS = LEASE_HOLD_MS
 
 
 def _ask(
@@ -26,15 +26,15 @@
     home = ShareHome('e', 0)
     assert _ask(home, 'a', 0.5, 0.2, 0) == 0.2
     assert _ask(home, 'b', 0.5, 0, 0) == 0
-    assert _ask(home, 'b', 0.5, 0, HOLD_MS) > 0
+    assert _ask(home, 'b', 0.5, 0, LEASE_HOLD_MS) > 0
 
 
 def test_suspected_home_only_renews() -> None:
     home = ShareHome('e', 0)
     assert _ask(home, 'a', 0.1, 0, START_MS) > 0
-    home.note_doubted(START_MS + 1)
+    home.record_suspected(START_MS + 1)
     assert _ask(home, 'b', 0.1, 0, START_MS + 2) == 0
-    assert _ask(home, 'b', 0.1, 0, START_MS + HOLD_MS + 1) > 0
+    assert _ask(home, 'b', 0.1, 0, START_MS + LEASE_HOLD_MS + 1) > 0
 
 
 def test_reduced_share_counts_until_its_holder_releases_it() -> None:
@@ -49,8 +49,8 @@
 def test_lease_that_is_not_renewed_stays_counted_for_the_hold_time() -> None:
     home = ShareHome('e', 0)
     _ask(home, 'a', 1, 0, START_MS)
-    assert _ask(home, 'b', 1, 0, START_MS + HOLD_MS - 1) == 0
-    assert _ask(home, 'b', 1, 0, START_MS + HOLD_MS) == POOL_SHARE
+    assert _ask(home, 'b', 1, 0, START_MS + LEASE_HOLD_MS - 1) == 0
+    assert _ask(home, 'b', 1, 0, START_MS + LEASE_HOLD_MS) == POOL_SHARE
 
 
 def test_only_the_home_grants() -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,8 +6,12 @@
 import pytest
 
 from bergamotthread.clock import Clock
-from bergamotthread.process.shares.share_home import HOLD_MS, LEASE_MS, home_of
-from bergamotthread.process.shares.share_usage import FLOOR_BURST
+from bergamotthread.process.shares.share_home import (
+    LEASE_HOLD_MS,
+    LEASE_MS,
+    home_of,
+)
+from bergamotthread.process.shares.share_usage import MIN_BURST_REQUESTS
 from bergamotthread.process.shares.shares import TeamLimits
 from bergamotthread.request.refusal import Ran, ReasonCode
 from bergamotthread.testing.memory_network import MemoryNetwork
@@ -30,7 +34,7 @@
     def responsive_entries(self) -> tuple[str, ...]:
         return self.entries
 
-    def reachable_share(self) -> float:
+    def reachable_fraction(self) -> float:
         return self.reachable
 
 
@@ -111,7 +115,7 @@
 
 async def _steady(bench: _Bench) -> None:
     await bench.load(80_000)
-    assert bench.highest(10_000, 0) <= LIMIT * 1.1 + 4 * FLOOR_BURST / 10
+    assert bench.highest(10_000, 0) <= LIMIT * 1.1 + 4 * MIN_BURST_REQUESTS / 10
     settled = [at for at in bench.admitted_ms if at >= SETTLED_MS]
     assert len(settled) >= 0.9 * LIMIT * (80_000 - SETTLED_MS) / 1000
 
@@ -228,7 +232,7 @@
 
 async def _retry_after(bench: _Bench) -> None:
     limits = bench.limits['e0']
-    await bench.clock.sleep_ms(HOLD_MS)
+    await bench.clock.sleep_ms(LEASE_HOLD_MS)
     while (refusal := limits.try_admit(TEAM)) is None:
         limits.release(TEAM)
     assert refusal.reason is ReasonCode.OVER_LIMIT
