--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -289,7 +289,7 @@
         avoided: frozenset[str] = frozenset()
         if suspect:
             guard = self.poison_guards[generation.entry]
-            avoided = guard.avoided_agents(generation.content)
+            avoided = guard.agents_with_other_suspects(generation.content)
         return PlacementRequest(
             generation=job.generation,
             team=job.team,
@@ -555,7 +555,7 @@
     def _tell_charges(self) -> None:
         pairs = zip(self.poison_guards, self._sinks, strict=True)
         for guard, sink in pairs:
-            for notice in guard.take_charges():
+            for notice in guard.pop_changed_charges():
                 sink.send(notice)
         self.after(CHARGE_INTERVAL_MS, self._tell_charges)
 
--- a/bergamotthread/process/agent.py
+++ b/bergamotthread/process/agent.py
@@ -237,7 +237,7 @@
 
     def _on_acks(self, acks: tuple[Ack, ...], sender: str) -> None:
         if not acks:
-            self._flusher.report(sender)
+            self._flusher.send_load_report(sender)
         now_ms = self._clock.now_ms()
         for ack in acks:
             key = AttemptKey(ack.generation, ack.attempt)
@@ -255,7 +255,7 @@
     def _on_cancel(self, key: AttemptKey, sender: str) -> None:
         buffer = self.attempts.buffers_by_key.get(key)
         if buffer is not None and buffer.subscriber == sender:
-            self.attempts.drop(key)
+            self.attempts.discard(key)
             self.gate.record_end(key.generation, key.attempt)
 
     def _on_revoke(self, key: AttemptKey, sender: str) -> None:
@@ -290,7 +290,7 @@
                 await self._clock.sleep_ms(coalesce_ms)
             self._start_ready()
             self._flush()
-            self._flusher.beat(self._awaited_by())
+            self._flusher.send_heartbeats(self._awaited_by())
             await self._clock.sleep_ms(interval_ms - coalesce_ms)
 
     def _is_idle(self) -> bool:
@@ -334,7 +334,7 @@
 
     def _awaited_by(self) -> set[str]:
         waiting = set(self._waiting_by_key.values())
-        return waiting | self.attempts.unfinished_subscribers()
+        return waiting | self.attempts.active_subscribers()
 
     async def _poll_load_forever(self) -> None:
         while True:
--- a/bergamotthread/process/agent_process.py
+++ b/bergamotthread/process/agent_process.py
@@ -114,7 +114,7 @@
 
     async def drain(self) -> None:
         """Take no new work and return when none is left."""
-        await self._drain.until_drained()
+        await self._drain.drain_and_wait()
 
     def on_message(self, envelope: Envelope) -> None:
         """Hand a message to the parts that take it."""
--- a/bergamotthread/process/calls/call_cleaner.py
+++ b/bergamotthread/process/calls/call_cleaner.py
@@ -53,10 +53,10 @@
     """
 
     interval_ms: float = 10_000
-    scan_rows: int = 200
-    writes: int = 10
+    scan_rows_max: int = 200
+    writes_max: int = 10
     grace_ms: int = 60_000
-    digits: int = 2
+    prefix_digits: int = 2
 
 
 @dataclass(frozen=True)
@@ -80,7 +80,7 @@
     clock: Clock
     limits: CleanerLimits = CleanerLimits()
     rng: random.Random = field(default_factory=random.Random)
-    _writes_left: int = 0
+    _remaining_writes: int = 0
 
     async def run(self) -> None:
         """Clean at a jittered interval until cancelled."""
@@ -100,60 +100,64 @@
     async def step(self) -> CleanerStep:
         """Clean the rows of one prefix."""
         rows = await self._scan()
-        self._writes_left = self.limits.writes
+        self._remaining_writes = self.limits.writes_max
         deleted = 0
         marked = 0
         for row in rows:
-            if self._writes_left <= 0:
+            if self._remaining_writes <= 0:
                 break
             call_row = decode_row(row.body)
             if is_expired(call_row, self.clock.calendar_ms()):
                 deleted += await self._delete(row)
             else:
-                marked += await self._mark(row, call_row)
+                marked += await self._mark_unknown(row, call_row)
         return CleanerStep(len(rows), deleted, marked)
 
     async def _scan(self) -> tuple[Row, ...]:
-        prefix = CALL_PREFIX + self._random_digits(self.limits.digits)
-        rows = await self.table.scan(prefix, limit=self.limits.scan_rows)
-        while len(rows) >= self.limits.scan_rows:
+        prefix = CALL_PREFIX + self._random_digits(self.limits.prefix_digits)
+        rows = await self.table.scan(prefix, limit=self.limits.scan_rows_max)
+        while len(rows) >= self.limits.scan_rows_max:
             prefix += self._random_digits(1)
-            rows = await self.table.scan(prefix, limit=self.limits.scan_rows)
+            rows = await self.table.scan(
+                prefix, limit=self.limits.scan_rows_max
+            )
         return rows
 
     def _random_digits(self, count: int) -> str:
         return ''.join(self.rng.choices(_DIGITS, k=count))
 
     async def _delete(self, row: Row) -> bool:
-        self._writes_left -= 1
+        self._remaining_writes -= 1
         try:
             await self.table.delete(row.key, expected=row.revision)
         except StoreConflictError:
             return False
         return True
 
-    async def _mark(self, row: Row, call_row: CallRow) -> bool:
+    async def _mark_unknown(self, row: Row, call_row: CallRow) -> bool:
         match call_row.state:
             case Unknown():
-                return await self._index(row)
+                return await self._ensure_indexed(row)
             case Dispatched(sending=sending, lease_until_ms=lease_until_ms):
                 now_ms = self.clock.calendar_ms()
                 if now_ms < lease_until_ms + self.limits.grace_ms:
                     return False
                 unknown = Unknown(sending, 'its holder went silent')
                 settled = settle(call_row, unknown, 'cleaner', now_ms)
-                return settled is not None and await self._write(row, settled)
+                return settled is not None and await self._write_unknown(
+                    row, settled
+                )
         return False
 
-    async def _index(self, row: Row) -> bool:
+    async def _ensure_indexed(self, row: Row) -> bool:
         if await self.table.read(unknown_key(row.key)) is not None:
             return False
-        self._writes_left -= 1
+        self._remaining_writes -= 1
         await write_unknown_index(self.table, row.key)
         return True
 
-    async def _write(self, row: Row, call_row: CallRow) -> bool:
-        self._writes_left -= 2
+    async def _write_unknown(self, row: Row, call_row: CallRow) -> bool:
+        self._remaining_writes -= 2
         await write_unknown_index(self.table, row.key)
         try:
             await self.table.write(
--- a/bergamotthread/process/calls/call_executor.py
+++ b/bergamotthread/process/calls/call_executor.py
@@ -64,12 +64,12 @@
         Time after which a declined call may be retried.
     """
 
-    concurrent: int = 256
+    concurrent_max: int = 256
     ticket_lifetime_ms: float = 15_000
-    answer_limit_ms: float = 300_000
-    replies: int = 1000
-    reply_bytes: int = 16_777_216
-    fences: int = 10_000
+    answer_timeout_ms: float = 300_000
+    replies_max: int = 1000
+    reply_bytes_max: int = 16_777_216
+    fences_max: int = 10_000
     retry_after_ms: int = 500
 
 
@@ -86,7 +86,7 @@
         """Add a reply and evict the oldest ones above the limits."""
         self._by_call[(reply.call, reply.attempt)] = reply
         self._held_bytes += len(reply.body)
-        while self._is_over():
+        while self._exceeds_limits():
             _, evicted = self._by_call.popitem(last=False)
             self._held_bytes -= len(evicted.body)
 
@@ -94,7 +94,7 @@
         """Return the reply to a call, None if it is not held."""
         return self._by_call.get((call, ticket))
 
-    def _is_over(self) -> bool:
+    def _exceeds_limits(self) -> bool:
         too_many = len(self._by_call) > self._replies
         return too_many or self._held_bytes > self._reply_bytes
 
@@ -133,11 +133,11 @@
         self._client = client
         self._clock = clock
         self._checks_fencing = checks_fencing
-        self._book = TicketBook()
-        self._open: deque[tuple[float, str, int]] = deque()
+        self._tickets = TicketBook()
+        self._open_tickets: deque[tuple[float, str, int]] = deque()
         self._replies = ReplyCache(
-            self.limits.replies,
-            self.limits.reply_bytes,
+            self.limits.replies_max,
+            self.limits.reply_bytes_max,
         )
         self._listeners_by_call: dict[_CallId, list[str]] = {}
         self._fence_by_key: OrderedDict[tuple[str, str], int] = OrderedDict()
@@ -169,7 +169,7 @@
             case CallOffer() as offer:
                 self._answer_offer(envelope.sender, offer)
             case CallDispatch() as dispatch:
-                self._take(envelope.sender, dispatch)
+                self._handle_dispatch(envelope.sender, dispatch)
             case Revoke() as revoke:
                 self._revoke(envelope.sender, revoke)
             case _:
@@ -178,7 +178,7 @@
 
     def _answer_offer(self, sender: str, offer: CallOffer) -> None:
         self._expire_tickets()
-        reason = self._reason_to_decline()
+        reason = self._decline_reason()
         if reason:
             reply = CallOfferReply(
                 offer.call,
@@ -189,44 +189,46 @@
             )
             self._transport.send(sender, reply)
             return
-        ticket = self._book.issue(offer.call)
-        self._open.append((self._clock.now_ms(), offer.call, ticket))
+        ticket = self._tickets.issue(offer.call)
+        self._open_tickets.append((self._clock.now_ms(), offer.call, ticket))
         accepted = CallOfferReply(offer.call, ticket, accepted=True)
         self._transport.send(sender, accepted)
 
-    def _reason_to_decline(self) -> str:
+    def _decline_reason(self) -> str:
         if self.is_draining:
             return DRAINING
-        return BUSY if self.running >= self.limits.concurrent else ''
+        return BUSY if self.running >= self.limits.concurrent_max else ''
 
     def _expire_tickets(self) -> None:
         oldest_ms = self._clock.now_ms() - self.limits.ticket_lifetime_ms
-        while self._open and self._open[0][0] < oldest_ms:
-            _, call, ticket = self._open.popleft()
-            self._book.close(call, ticket)
+        while self._open_tickets and self._open_tickets[0][0] < oldest_ms:
+            _, call, ticket = self._open_tickets.popleft()
+            self._tickets.close(call, ticket)
 
-    def _take(self, sender: str, dispatch: CallDispatch) -> None:
+    def _handle_dispatch(self, sender: str, dispatch: CallDispatch) -> None:
         self._expire_tickets()
         if dispatch.incarnation:
-            self._take_guarded(sender, dispatch)
+            self._handle_guarded_dispatch(sender, dispatch)
             return
-        reason = self._reason_to_decline()
+        reason = self._decline_reason()
         if reason:
             self._transport.send(sender, _not_dispatched(dispatch, reason))
             return
         self._start(sender, dispatch)
 
-    def _take_guarded(self, sender: str, dispatch: CallDispatch) -> None:
+    def _handle_guarded_dispatch(
+        self, sender: str, dispatch: CallDispatch
+    ) -> None:
         if dispatch.incarnation != self._transport.incarnation:
             reply = _unknown(dispatch, OTHER_PROCESS)
             self._transport.send(sender, reply)
             return
-        reason = self._reason_to_decline() or self._check_fence(dispatch)
+        reason = self._decline_reason() or self._check_fence(dispatch)
         if reason:
-            self._book.close(dispatch.call, dispatch.attempt)
-        if self._book.use(dispatch.call, dispatch.attempt):
+            self._tickets.close(dispatch.call, dispatch.attempt)
+        if self._tickets.use(dispatch.call, dispatch.attempt):
             self._start(sender, dispatch)
-        elif self._book.close(dispatch.call, dispatch.attempt):
+        elif self._tickets.close(dispatch.call, dispatch.attempt):
             reply = _not_dispatched(dispatch, reason or CLOSED_TICKET)
             self._transport.send(sender, reply)
 
@@ -238,13 +240,13 @@
             return OLD_FENCE
         self._fence_by_key[key] = dispatch.fence
         self._fence_by_key.move_to_end(key)
-        if len(self._fence_by_key) > self.limits.fences:
+        if len(self._fence_by_key) > self.limits.fences_max:
             self._fence_by_key.popitem(last=False)
         return ''
 
     def _revoke(self, sender: str, revoke: Revoke) -> None:
         call_id = (revoke.generation, revoke.attempt)
-        is_unsent = self._book.close(*call_id)
+        is_unsent = self._tickets.close(*call_id)
         reply = self._replies.get(*call_id)
         if not is_unsent and reply is not None:
             self._transport.send(sender, reply)
@@ -268,18 +270,18 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _run(self, dispatch: CallDispatch) -> None:
-        reply = await self._call(dispatch)
+        reply = await self._send(dispatch)
         if dispatch.incarnation:
             self._replies.add(reply)
         call_id = (dispatch.call, dispatch.attempt)
         for listener in self._listeners_by_call.pop(call_id, ()):
             self._transport.send(listener, reply)
 
-    async def _call(self, dispatch: CallDispatch) -> CallReply:
+    async def _send(self, dispatch: CallDispatch) -> CallReply:
         try:
-            answer = await self._client.call(self._request_of(dispatch))
+            answer = await self._client.call(self._service_request(dispatch))
         except ServiceUnreachableError as error:
-            self._book.close_unsent(dispatch.call, dispatch.attempt)
+            self._tickets.close_unsent(dispatch.call, dispatch.attempt)
             return _not_dispatched(dispatch, error.message)
         except ServiceLostError as error:
             return _unknown(dispatch, error.message)
@@ -292,7 +294,7 @@
             body=answer.body,
         )
 
-    def _request_of(self, dispatch: CallDispatch) -> ServiceRequest:
+    def _service_request(self, dispatch: CallDispatch) -> ServiceRequest:
         added = [(KEY_HEADER, dispatch.key)] if dispatch.key else []
         if dispatch.fence:
             added.append((FENCE_HEADER, str(dispatch.fence)))
@@ -304,7 +306,7 @@
         ]
         timeout_ms = dispatch.remaining_ms
         if dispatch.incarnation:
-            timeout_ms = self.limits.answer_limit_ms
+            timeout_ms = self.limits.answer_timeout_ms
         return ServiceRequest(
             dispatch.method,
             dispatch.path,
--- a/bergamotthread/process/calls/call_limits.py
+++ b/bergamotthread/process/calls/call_limits.py
@@ -42,14 +42,14 @@
     """
 
     lease_margin_ms: int = 5000
-    store_wait_ms: float = 1500
-    settle_ms: float = 120_000
-    park_ms: float = 300_000
-    offer_ms: float = 300
-    ask_ms: float = 500
-    poll_ms: float = 50
-    poll_max_ms: float = 1000
+    store_timeout_ms: float = 1500
+    settle_timeout_ms: float = 120_000
+    late_answer_timeout_ms: float = 300_000
+    offer_timeout_ms: float = 300
+    outcome_timeout_ms: float = 500
+    poll_interval_ms: float = 50
+    poll_interval_max_ms: float = 1000
     inline_bytes: int = 16_384
     result_bytes: int = 4_194_304
     held_bytes: int = 33_554_432
-    concurrent: int = 2000
+    concurrent_max: int = 2000
--- a/bergamotthread/process/calls/call_operations.py
+++ b/bergamotthread/process/calls/call_operations.py
@@ -30,10 +30,10 @@
 )
 
 RESOLVE_KIND = 'resolve_call'
-WRITES_MAX = 5
+WRITE_ATTEMPTS_MAX = 5
 
 
-class AuditSink(Protocol):
+class ResolutionAuditSink(Protocol):
     """Receiver of records for the audit trail."""
 
     async def append(
@@ -122,7 +122,7 @@
         if record is not None and isinstance(record.row.state, Unknown):
             records.append(record)
         elif record is None or _is_settled(record):
-            await _delete_quietly(table, index)
+            await _delete_if_unchanged(table, index)
     return tuple(records)
 
 
@@ -134,7 +134,7 @@
 
 async def resolve_call(
     table: Table,
-    audit: AuditSink,
+    audit: ResolutionAuditSink,
     clock: Clock,
     name: CallName,
     resolution: Resolution,
@@ -152,7 +152,7 @@
     StoreUnavailableError
         If it is not certain whether the row was written.
     """
-    record = await _read_known(table, name)
+    record = await _read_existing(table, name)
     resolved = Resolved(resolution.ran, resolution.who, resolution.note)
     row = _resolved_row(record, resolved, clock)
     detail = {'ran': str(resolved.ran).lower(), 'note': resolved.note}
@@ -165,11 +165,11 @@
             'the audit trail is full; nothing was resolved',
             step=Step.RECORD,
         )
-    for _ in range(WRITES_MAX):
+    for _ in range(WRITE_ATTEMPTS_MAX):
         if await _write(table, name, row, record.revision):
-            await _forget_index(table, name)
+            await _delete_index(table, name)
             return CallRecord(name, row, record.revision + 1)
-        record = await _read_known(table, name)
+        record = await _read_existing(table, name)
         if record.row == row:
             return record
         row = _resolved_row(record, resolved, clock)
@@ -184,7 +184,7 @@
     return isinstance(record.row.state, Done | Refused | Resolved)
 
 
-async def _read_known(table: Table, name: CallName) -> CallRecord:
+async def _read_existing(table: Table, name: CallName) -> CallRecord:
     record = await show_call(table, name)
     if record is None:
         raise ResolveError(f'{name} is not known', step=Step.RECORD)
@@ -219,13 +219,13 @@
     return True
 
 
-async def _forget_index(table: Table, name: CallName) -> None:
+async def _delete_index(table: Table, name: CallName) -> None:
     index = await table.read(unknown_key(name.row_key))
     if index is not None:
-        await _delete_quietly(table, index)
+        await _delete_if_unchanged(table, index)
 
 
-async def _delete_quietly(table: Table, row: Row) -> None:
+async def _delete_if_unchanged(table: Table, row: Row) -> None:
     try:
         await table.delete(row.key, expected=row.revision)
     except (StoreConflictError, StoreUnavailableError):
--- a/bergamotthread/process/calls/call_runner.py
+++ b/bergamotthread/process/calls/call_runner.py
@@ -65,9 +65,9 @@
         self._clock = clock
         self._rng = rng or random.Random()
         self._mailboxes = CallMailboxes()
-        self._budget = RetryCredit()
+        self._retry_credit = RetryCredit()
         self._sequence = 0
-        self._held = ByteBudget(self.limits.held_bytes)
+        self._held_bytes = ByteBudget(self.limits.held_bytes)
         self._call_by_task: dict[asyncio.Task[None], GuardedCall] = {}
 
     @property
@@ -94,7 +94,7 @@
         owner = f'{transport.address}/{transport.incarnation}/{self._sequence}'
         if request.idempotent:
             return await self._plain(request, owner).run()
-        self._check(request)
+        self._check_admission(request)
         call = self._guarded(request, owner)
         task = asyncio.ensure_future(call.run())
         self._call_by_task[task] = call
@@ -128,11 +128,11 @@
             self._mailboxes,
             self._clock,
             self._rng,
-            self._budget,
+            self._retry_credit,
         )
 
     def _guarded(self, request: CallRequest, owner: str) -> GuardedCall:
-        bodies = HeldBodies(self._held)
+        bodies = HeldBodies(self._held_bytes)
         store = CallStore(
             self._table,
             self._object_store,
@@ -170,7 +170,7 @@
             request.first_send,
         )
 
-    def _check(self, request: CallRequest) -> None:
+    def _check_admission(self, request: CallRequest) -> None:
         if not 1 <= len(request.key) <= KEY_CHARACTERS_MAX:
             raise refuse_call(
                 request,
@@ -181,7 +181,7 @@
                 ran=Ran.NOT_RUN,
                 retry_after_ms=0,
             )
-        if self.running >= self.limits.concurrent:
+        if self.running >= self.limits.concurrent_max:
             raise refuse_call(
                 request,
                 ReasonCode.OVERLOADED,
--- a/bergamotthread/process/calls/service_calls.py
+++ b/bergamotthread/process/calls/service_calls.py
@@ -17,7 +17,7 @@
 )
 from bergamotthread.version.published import PublishedVersion
 
-_HOP_HEADERS = frozenset(
+_REMOVED_HEADERS = frozenset(
     (
         'authorization',
         'connection',
@@ -50,7 +50,7 @@
     first_send: bool = False
 
 
-def call_request(
+def build_call_request(
     parts: ServiceRequestParts,
     published: PublishedVersion,
     region: str,
@@ -65,15 +65,15 @@
     """
     service = _find_service(parts, published)
     rule = rule_of(service, parts.method, parts.path)
-    agents = _agents(service, published, region)
+    agents = _agents_local_first(service, published, region)
     if not agents:
-        raise _refused(
+        raise _refusal_error(
             ReasonCode.NO_UPSTREAM,
             f'no upstream is configured for service {service.name!r}',
             published,
         )
     if not rule.idempotent and not parts.key:
-        raise _refused(
+        raise _refusal_error(
             ReasonCode.BAD_REQUEST,
             f'{parts.method} {parts.path} requires an Idempotency-Key header, '
             'because the call is not idempotent and runs at most once',
@@ -86,7 +86,7 @@
         key=parts.key,
         method=parts.method,
         path=f'{parts.path}{query}',
-        headers=_forwarded(parts.headers),
+        headers=_forwarded_headers(parts.headers),
         body=parts.body,
         idempotent=rule.idempotent,
         agents=agents,
@@ -109,22 +109,22 @@
     service = plain.get(parts.service)
     if service is None:
         valid = ', '.join(sorted(plain)) or 'none'
-        raise _refused(
+        raise _refusal_error(
             ReasonCode.NOT_FOUND,
             f'no plain service is named {parts.service!r}; '
             f'valid names: {valid}',
             published,
         )
-    if _is_open(service, parts.team, published):
+    if _is_open_to_team(service, parts.team, published):
         return service
-    raise _refused(
+    raise _refusal_error(
         ReasonCode.FORBIDDEN,
         f'no route to service {parts.service!r} is open to team {parts.team!r}',
         published,
     )
 
 
-def _is_open(
+def _is_open_to_team(
     service: Service,
     team: str,
     published: PublishedVersion,
@@ -136,7 +136,7 @@
     )
 
 
-def _agents(
+def _agents_local_first(
     service: Service,
     published: PublishedVersion,
     region: str,
@@ -156,17 +156,17 @@
     return tuple(upstream.agent for upstream in (*local, *remote))
 
 
-def _forwarded(
+def _forwarded_headers(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, header_value)
         for name, header_value in headers
-        if name.lower() not in _HOP_HEADERS
+        if name.lower() not in _REMOVED_HEADERS
     )
 
 
-def _refused(
+def _refusal_error(
     reason: ReasonCode,
     detail: str,
     published: PublishedVersion,
--- a/bergamotthread/process/calls/ticket_book.py
+++ b/bergamotthread/process/calls/ticket_book.py
@@ -37,23 +37,23 @@
 
     capacity: int = 10_000
     issued: int = 0
-    _entries: OrderedDict[tuple[str, int], TicketState] = field(
+    _state_by_ticket: OrderedDict[tuple[str, int], TicketState] = field(
         default_factory=OrderedDict,
     )
 
     def issue(self, call: str) -> int:
         """Open a ticket for a call and return its number."""
         self.issued += 1
-        self._entries[(call, self.issued)] = TicketState.OPEN
-        if len(self._entries) > self.capacity:
-            self._entries.popitem(last=False)
+        self._state_by_ticket[(call, self.issued)] = TicketState.OPEN
+        if len(self._state_by_ticket) > self.capacity:
+            self._state_by_ticket.popitem(last=False)
         return self.issued
 
     def use(self, call: str, ticket: int) -> bool:
         """Mark an open ticket as used; return whether the call may be sent."""
-        if self._entries.get((call, ticket)) is not TicketState.OPEN:
+        if self._state_by_ticket.get((call, ticket)) is not TicketState.OPEN:
             return False
-        self._entries[(call, ticket)] = TicketState.USED
+        self._state_by_ticket[(call, ticket)] = TicketState.USED
         return True
 
     def close(self, call: str, ticket: int) -> bool:
@@ -62,21 +62,21 @@
         The result is False for a ticket that is not known, since its call may
         have been sent.
         """
-        state = self._entries.get((call, ticket))
+        state = self._state_by_ticket.get((call, ticket))
         if state is TicketState.OPEN:
-            self._entries[(call, ticket)] = TicketState.CLOSED
+            self._state_by_ticket[(call, ticket)] = TicketState.CLOSED
         return state in {TicketState.OPEN, TicketState.CLOSED}
 
     def close_unsent(self, call: str, ticket: int) -> None:
         """Close a used ticket because its call did not reach the upstream."""
-        if self._entries.get((call, ticket)) is TicketState.USED:
-            self._entries[(call, ticket)] = TicketState.CLOSED
+        if self._state_by_ticket.get((call, ticket)) is TicketState.USED:
+            self._state_by_ticket[(call, ticket)] = TicketState.CLOSED
 
     def snapshot(self) -> tuple[tuple[str, int, TicketState], ...]:
         """Return all tickets kept, oldest first."""
         return tuple(
             (call, ticket, state)
-            for (call, ticket), state in self._entries.items()
+            for (call, ticket), state in self._state_by_ticket.items()
         )
 
     def restore(
@@ -85,4 +85,4 @@
     ) -> None:
         """Add the tickets of a snapshot."""
         for call, ticket, state in tickets:
-            self._entries[(call, ticket)] = state
+            self._state_by_ticket[(call, ticket)] = state
--- a/bergamotthread/process/drain/drain_plan.py
+++ b/bergamotthread/process/drain/drain_plan.py
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class _Slots:
+class _SlotOccupancy:
     """Occupancy of consecutive time slots, each as long as one stop."""
 
     limits: DrainLimits
@@ -76,7 +76,7 @@
     first_free: dict[StopTarget, int] = field(default_factory=dict)
 
     def occupy(self, slot: int, target: StopTarget) -> None:
-        for kind, name in _resources(target):
+        for kind, name in _limited_resources(target):
             self.used[slot, kind, name] += 1
 
     def occupy_span(self, stop: Stop, target: StopTarget) -> None:
@@ -97,7 +97,7 @@
     def _fits(self, slot: int, target: StopTarget) -> bool:
         return all(
             self.used[slot, kind, name] < self._limit(kind, name)
-            for kind, name in _resources(target)
+            for kind, name in _limited_resources(target)
         )
 
     def _limit(self, kind: str, name: str) -> int:
@@ -109,7 +109,7 @@
         return (time_ms - self.start_ms) // self.limits.duration_ms
 
 
-def _resources(target: StopTarget) -> list[tuple[str, str]]:
+def _limited_resources(target: StopTarget) -> list[tuple[str, str]]:
     models = [('model', name) for name in target.models]
     return [('failure_domain', target.failure_domain), *models]
 
@@ -130,7 +130,7 @@
     domain_by_address = {host.address: host.failure_domain for host in hosts}
     targets = []
     for address in dict.fromkeys(addresses):
-        target = _target(version, domain_by_address, address)
+        target = _find_target(version, domain_by_address, address)
         if target is None:
             raise DrainPlanError(
                 f'unknown address {address!r}; expected the agent of a '
@@ -142,7 +142,7 @@
     return tuple(targets)
 
 
-def _target(
+def _find_target(
     version: PublishedVersion,
     domain_by_address: dict[str, str],
     address: str,
@@ -179,7 +179,7 @@
     """
     _check_limits(limits)
     start_ms = calendar_ms + limits.lead_ms
-    slots = _Slots(limits, _limit_by_model(version, limits), start_ms)
+    slots = _SlotOccupancy(limits, _limit_by_model(version, limits), start_ms)
     planned = _occupy_published(version, slots, calendar_ms)
     stops = [
         _make_stop(target, slots.place(target), limits, start_ms, reason)
@@ -216,7 +216,7 @@
 
 def _occupy_published(
     version: PublishedVersion,
-    slots: _Slots,
+    slots: _SlotOccupancy,
     calendar_ms: int,
 ) -> set[str]:
     planned = set()
@@ -224,7 +224,7 @@
         if stop.deadline_ms <= calendar_ms:
             continue
         planned.add(stop.address)
-        target = _target(version, {}, stop.address)
+        target = _find_target(version, {}, stop.address)
         if target is not None:
             slots.occupy_span(stop, target)
     return planned
--- a/bergamotthread/process/drain/drain_report.py
+++ b/bergamotthread/process/drain/drain_report.py
@@ -15,9 +15,9 @@
 from bergamotthread.process.drain.drain_state import DrainPhase
 from bergamotthread.process.store.platform import Row, Table
 
-KEY_PREFIX = 'drain/'
+REPORT_KEY_PREFIX = 'drain/'
 REPORT_INTERVAL_MS = 10_000
-FRESH_MS = 30_000
+REPORT_MAX_AGE_MS = 30_000
 
 
 class DrainReport(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
         self._clock = clock
         self._address = address
         self._incarnation = incarnation
-        self._last: DrainReport | None = None
+        self._last_report: DrainReport | None = None
 
     async def report(
         self,
@@ -97,11 +97,11 @@
         except StoreUnavailableError:
             return False
         if written:
-            self._last = report
+            self._last_report = report
         return written
 
     def _is_due(self, report: DrainReport) -> bool:
-        last = self._last
+        last = self._last_report
         if last is None or report.phase is not last.phase:
             return True
         if report.phase is DrainPhase.SERVING:
@@ -109,7 +109,7 @@
         return report.updated_ms - last.updated_ms >= REPORT_INTERVAL_MS
 
     async def _write(self, report: DrainReport) -> bool:
-        key = KEY_PREFIX + self._address
+        key = REPORT_KEY_PREFIX + self._address
         row = await self._table.read(key)
         existing = decode_report(row) if row else None
         if existing is None and report.phase is DrainPhase.SERVING:
@@ -142,7 +142,7 @@
     verdicts = []
     for address in addresses:
         try:
-            row = await table.read(KEY_PREFIX + address)
+            row = await table.read(REPORT_KEY_PREFIX + address)
         except BergamotError as error:
             reasons = (f'not known, report could not be read: {error}',)
             verdicts.append(DrainVerdict(address, safe=False, reasons=reasons))
@@ -162,7 +162,7 @@
         return DrainVerdict(address, safe=False, reasons=('no drain report',))
     age_ms = calendar_ms - report.updated_ms
     reasons = []
-    if abs(age_ms) > FRESH_MS:
+    if abs(age_ms) > REPORT_MAX_AGE_MS:
         reasons.append(f'last report is {age_ms} ms old')
     if report.phase is not DrainPhase.DRAINED:
         reasons.append(f'phase is {report.phase}')
--- a/bergamotthread/process/drain/drain_runner.py
+++ b/bergamotthread/process/drain/drain_runner.py
@@ -10,7 +10,7 @@
 
 REFRESH_INTERVAL_MS = 250
 
-Holders = Callable[[], tuple[str, ...]]
+RemainingWork = Callable[[], tuple[str, ...]]
 
 
 class DrainRunner:
@@ -33,7 +33,7 @@
         self,
         state: DrainState,
         reporter: DrainReporter | None,
-        held_by: Holders,
+        held_by: RemainingWork,
         refresh: Callable[[], None],
         clock: Clock,
     ) -> None:
@@ -57,7 +57,7 @@
         if self._reporter is not None:
             await self._reporter.report(phase, held_by)
 
-    async def until_drained(self) -> None:
+    async def drain_and_wait(self) -> None:
         """Start a drain as for a signal and wait until no work is left."""
         self._state.apply_signal()
         while self._state.phase is not DrainPhase.DRAINED:
--- a/bergamotthread/process/drain/drain_state.py
+++ b/bergamotthread/process/drain/drain_state.py
@@ -13,7 +13,7 @@
 from bergamotthread.wire.messages import DrainNotice
 
 HAND_OVER_MARGIN_MS = 30_000
-SIGNAL_DEADLINE_MS = 60_000
+SIGNAL_DRAIN_TIMEOUT_MS = 60_000
 
 
 class DrainPhase(enum.StrEnum):
@@ -48,7 +48,7 @@
     reason: str = ''
 
 
-Listener = Callable[[DrainPhase], None]
+PhaseListener = Callable[[DrainPhase], None]
 
 _SERVING = DrainPhase.SERVING.value
 _DRAINING = DrainPhase.DRAINING.value
@@ -86,7 +86,7 @@
         self,
         clock: Clock,
         address: str,
-        listener: Listener | None = None,
+        listener: PhaseListener | None = None,
         hand_over_margin_ms: float = HAND_OVER_MARGIN_MS,
     ) -> None:
         self.state = _SERVING
@@ -95,7 +95,7 @@
         self._created_calendar_ms = clock.calendar_ms()
         self._listener = listener
         self._hand_over_margin_ms = hand_over_margin_ms
-        self._announced_by_source: dict[DrainSource, DrainAnnouncement] = {}
+        self._announcement_by_source: dict[DrainSource, DrainAnnouncement] = {}
         self._machine = Machine(
             model=self,
             model_attribute='state',
@@ -114,7 +114,7 @@
     @property
     def announcements(self) -> tuple[DrainAnnouncement, ...]:
         """Announcements, including those that start in the future."""
-        return tuple(self._announced_by_source.values())
+        return tuple(self._announcement_by_source.values())
 
     def notify(self) -> None:
         """Call the listener with the phase that was entered."""
@@ -123,26 +123,26 @@
 
     def may_dispatch(self) -> bool:
         """Return whether new work may start now."""
-        return self._started() is None
+        return self._earliest_started() is None
 
     def deadline_ms(self) -> float | None:
         """Return the earliest deadline of started drains, None without one."""
-        started = self._started()
+        started = self._earliest_started()
         return None if started is None else started.deadline_ms
 
     def announce(self, announcement: DrainAnnouncement) -> None:
         """Add an announcement; it replaces an earlier one of its source."""
-        self._announced_by_source[announcement.source] = announcement
+        self._announcement_by_source[announcement.source] = announcement
 
     def withdraw(self, source: DrainSource) -> None:
         """Remove the announcement of a source; a signal can't be withdrawn."""
         if source is not DrainSource.SIGNAL:
-            self._announced_by_source.pop(source, None)
+            self._announcement_by_source.pop(source, None)
 
     def apply_signal(self) -> None:
         """Start a drain because the process received a signal to end."""
         self._announce_now(
-            DrainSource.SIGNAL, SIGNAL_DEADLINE_MS, 'signal to end'
+            DrainSource.SIGNAL, SIGNAL_DRAIN_TIMEOUT_MS, 'signal to end'
         )
 
     def apply_notice(self, notice: DrainNotice) -> None:
@@ -184,7 +184,9 @@
         """Apply whether the platform's host list marks this host as leaving."""
         if leaving:
             self._announce_now(
-                DrainSource.HOST_LIST, SIGNAL_DEADLINE_MS, 'host is leaving'
+                DrainSource.HOST_LIST,
+                SIGNAL_DRAIN_TIMEOUT_MS,
+                'host is leaving',
             )
         else:
             self.withdraw(DrainSource.HOST_LIST)
@@ -198,24 +200,24 @@
             Number of work items that the process holds, such as generations,
             calls and outputs not fetched yet.
         """
-        target = self._target(work_count)
+        target = self._target_phase(work_count)
         if target is self.phase:
             return target
         match target:
             case DrainPhase.SERVING:
-                self._fire('resume')
+                self._trigger('resume')
             case DrainPhase.DRAINING:
                 self._enter_draining()
             case DrainPhase.STOPPING:
                 self._enter_draining()
-                self._fire('hand_over')
+                self._trigger('hand_over')
             case DrainPhase.DRAINED:
                 self._enter_draining()
-                self._fire('finish')
+                self._trigger('finish')
         return self.phase
 
-    def _target(self, work_count: int) -> DrainPhase:
-        started = self._started()
+    def _target_phase(self, work_count: int) -> DrainPhase:
+        started = self._earliest_started()
         if started is None:
             return DrainPhase.SERVING
         if work_count == 0:
@@ -230,18 +232,18 @@
     def _enter_draining(self) -> None:
         match self.phase:
             case DrainPhase.SERVING:
-                self._fire('start')
+                self._trigger('start')
             case DrainPhase.DRAINED:
-                self._fire('reopen')
+                self._trigger('reopen')
 
-    def _fire(self, event: str) -> None:
+    def _trigger(self, event: str) -> None:
         self._machine.events[event].trigger(self)
 
-    def _started(self) -> DrainAnnouncement | None:
+    def _earliest_started(self) -> DrainAnnouncement | None:
         now_ms = self._clock.now_ms()
         started = [
             announcement
-            for announcement in self._announced_by_source.values()
+            for announcement in self._announcement_by_source.values()
             if announcement.start_ms <= now_ms
         ]
         if not started:
@@ -254,7 +256,7 @@
         duration_ms: float,
         reason: str,
     ) -> None:
-        current = self._announced_by_source.get(source)
+        current = self._announcement_by_source.get(source)
         now_ms = self._clock.now_ms()
         if current is None or now_ms + duration_ms < current.deadline_ms:
             start_ms = now_ms if current is None else current.start_ms
--- a/bergamotthread/process/entry_app.py
+++ b/bergamotthread/process/entry_app.py
@@ -20,7 +20,7 @@
 from bergamotthread.errors import Step
 from bergamotthread.process.calls.service_calls import (
     ServiceRequestParts,
-    call_request,
+    build_call_request,
 )
 from bergamotthread.process.entry_metrics import EntryMetrics
 from bergamotthread.process.explanations.explanation_routes import (
@@ -191,7 +191,7 @@
         )
         started_ms = self._clock.now_ms()
         answer = await self._parts.calls.run(
-            call_request(parts, published, self._parts.region),
+            build_call_request(parts, published, self._parts.region),
         )
         self._parts.metrics.called(self._clock.now_ms() - started_ms)
         return answer
--- a/bergamotthread/process/entry_process.py
+++ b/bergamotthread/process/entry_process.py
@@ -141,7 +141,7 @@
     async def drain(self) -> None:
         """Admit nothing, fail the balancer's check, return when idle."""
         self.membership.leave()
-        await self._drain.until_drained()
+        await self._drain.drain_and_wait()
         await self.calls.finish()
         for step in (
             self.explanations.flush,
@@ -171,7 +171,7 @@
             return
         self.control.apply_version(published)
         self.drain_state.apply_stops(published.object_set.stops)
-        self.generations.put_in_force(published)
+        self.generations.apply_version(published)
 
     def _start_control(self) -> None:
         settings = self._settings
@@ -313,7 +313,7 @@
             published = self.versions.current
             if published is not None:
                 self.put_in_force(published)
-            self.completions.forget_released()
+            self.completions.evict_released()
             await self._clock.sleep_ms(VERSION_CHECK_INTERVAL_MS)
 
     async def _follow_members(self) -> None:
--- a/bergamotthread/process/explanations/audit_sinks.py
+++ b/bergamotthread/process/explanations/audit_sinks.py
@@ -7,14 +7,14 @@
 
 from bergamotthread.process.explanations.audit import AuditTrail
 from bergamotthread.process.generations.quarantine_store import (
-    AuditSink,
+    QuarantineAuditSink,
     QuarantineRow,
 )
 from bergamotthread.wire.messages import Order
 
 
 @dataclass(frozen=True)
-class QuarantineAudit(AuditSink):
+class QuarantineAudit(QuarantineAuditSink):
     """Records quarantines.
 
     Parameters
--- a/bergamotthread/process/generations/attempt_runner.py
+++ b/bergamotthread/process/generations/attempt_runner.py
@@ -73,7 +73,7 @@
         """Run the attempt until it ends; cancelling the task cancels it."""
         try:
             async with self._clock.timeout_ms(buffer.dispatch.remaining_ms):
-                await self._read(buffer)
+                await self._read_output(buffer)
         except EngineLostError:
             self._fail(buffer, EndReason.ENGINE_LOST)
         except EngineRefusedError:
@@ -81,16 +81,18 @@
         except TimeoutError:
             self._fail(buffer, EndReason.EXPIRED)
 
-    async def _read(self, buffer: OutputBuffer) -> None:
+    async def _read_output(self, buffer: OutputBuffer) -> None:
         request = generate_request(buffer.dispatch)
         outputs = self._engine.generate(request)
         async with aclosing(outputs) as stream:  # type: ignore[type-var]
             async for output in stream:
-                self._take(buffer, output)
+                self._record_output(buffer, output)
                 while buffer.unacknowledged > self._window_tokens:
                     await self._clock.sleep_ms(WINDOW_POLL_MS)
 
-    def _take(self, buffer: OutputBuffer, output: EngineOutput) -> None:
+    def _record_output(
+        self, buffer: OutputBuffer, output: EngineOutput
+    ) -> None:
         if not buffer.dispatch.warm_only:
             buffer.tokens.extend(output.tokens)
         if output.finish:
--- a/bergamotthread/process/generations/attempts.py
+++ b/bergamotthread/process/generations/attempts.py
@@ -67,7 +67,7 @@
         task.add_done_callback(lambda _: self._tasks_by_key.pop(key, None))
         return buffer
 
-    def drop(self, key: AttemptKey) -> None:
+    def discard(self, key: AttemptKey) -> None:
         """Stop an attempt and discard its output."""
         self._stop(key)
         self.buffers_by_key.pop(key, None)
@@ -91,9 +91,9 @@
         now_ms = self._clock.now_ms()
         for key, buffer in tuple(self.buffers_by_key.items()):
             if self._is_evictable(buffer, now_ms):
-                self.drop(key)
+                self.discard(key)
 
-    def unfinished_subscribers(self) -> set[str]:
+    def active_subscribers(self) -> set[str]:
         """Return the entries with an attempt that has not ended."""
         return {
             buffer.subscriber
--- a/bergamotthread/process/generations/completions.py
+++ b/bergamotthread/process/generations/completions.py
@@ -9,7 +9,7 @@
 from bergamotthread.clock import Clock
 from bergamotthread.errors import DecodeError, Step
 from bergamotthread.process.generations.generations import Generations
-from bergamotthread.process.generations.poison import fingerprint
+from bergamotthread.process.generations.poison import request_fingerprint
 from bergamotthread.process.overload.admission import CHARS_PER_TOKEN
 from bergamotthread.process.routing.placement import PlacementRequest
 from bergamotthread.process.routing.prefix_hash import block_hashes
@@ -71,13 +71,13 @@
         generations: Generations,
         signer: CursorSigner,
         clock: Clock,
-        stamp: Callable[[Refusal], Refusal],
+        record_refusal: Callable[[Refusal], Refusal],
     ) -> None:
-        self._stamp = stamp
+        self._record_refusal = record_refusal
         self._generations = generations
         self._signer = signer
         self._clock = clock
-        self._known_by_key: dict[tuple[str, str], _Known] = {}
+        self._generation_by_key: dict[tuple[str, str], _Known] = {}
 
     def open(
         self,
@@ -95,58 +95,64 @@
         digest = request_digest(request, caller.team)
         offset = 0
         if caller.last_event_id:
-            cursor = self._check_cursor(caller, digest)
+            cursor = self._verify_cursor(caller, digest)
             offset = cursor.offset
             live = self._reconnect(request, caller, published, cursor)
         else:
             joined = self._join(caller, digest)
             live = joined or self._start(request, caller, published)
-        self._remember(caller, live, digest)
+        self._store_key(caller, live, digest)
         options = StreamOptions(
             offset,
             request.model,
             digest,
             request.include_tokens,
         )
-        stream = CompletionStream(live, self._signer, self._stamp, options)
+        stream = CompletionStream(
+            live, self._signer, self._record_refusal, options
+        )
         return live, stream
 
-    def forget_released(self) -> None:
+    def evict_released(self) -> None:
         """Remove the keys of generations that the entry has released."""
-        for key, entry in tuple(self._known_by_key.items()):
+        for key, entry in tuple(self._generation_by_key.items()):
             generation_id = entry.live.generation.spec.generation
             if generation_id not in self._generations.by_id:
-                self._known_by_key.pop(key)
+                self._generation_by_key.pop(key)
 
-    def _check_cursor(self, caller: Caller, digest: int) -> Cursor:
+    def _verify_cursor(self, caller: Caller, digest: int) -> Cursor:
         try:
             cursor = self._signer.verify(caller.last_event_id)
         except DecodeError as error:
-            raise _refused(ReasonCode.BAD_CURSOR, error.message) from error
+            raise _refusal_error(
+                ReasonCode.BAD_CURSOR, error.message
+            ) from error
         if cursor.team != caller.team:
-            raise _refused(
+            raise _refusal_error(
                 ReasonCode.BAD_CURSOR,
                 'the cursor was issued to another team',
             )
         if cursor.request_digest != digest:
-            raise _refused(
+            raise _refusal_error(
                 ReasonCode.BAD_CURSOR,
                 'the cursor was issued for another request',
             )
         return cursor
 
     def _join(self, caller: Caller, digest: int) -> LiveGeneration | None:
-        entry = self._known_by_key.get((caller.team, caller.idempotency_key))
+        entry = self._generation_by_key.get(
+            (caller.team, caller.idempotency_key)
+        )
         if entry is None or not caller.idempotency_key:
             return None
         if entry.digest != digest:
-            raise _refused(
+            raise _refusal_error(
                 ReasonCode.KEY_REUSED,
                 'the idempotency key was already used with another request',
             )
         return entry.live if _is_joinable(entry.live) else None
 
-    def _remember(
+    def _store_key(
         self,
         caller: Caller,
         live: LiveGeneration,
@@ -154,7 +160,7 @@
     ) -> None:
         if caller.idempotency_key:
             key = (caller.team, caller.idempotency_key)
-            self._known_by_key[key] = _Known(live, digest)
+            self._generation_by_key[key] = _Known(live, digest)
 
     def _start(
         self,
@@ -163,7 +169,7 @@
         published: PublishedVersion,
     ) -> LiveGeneration:
         generation_id = f'gen-{uuid.uuid4().hex}'
-        live = self._live(request, caller, published, generation_id)
+        live = self._create_live(request, caller, published, generation_id)
         self._generations.start(live)
         return live
 
@@ -178,13 +184,13 @@
         if existing is not None and not existing.generation.is_cancelled:
             return existing
         accepted = request.accepted_tokens
-        if accepted and not _covers(cursor, accepted):
-            raise _refused(
+        if accepted and not _matches_cursor(cursor, accepted):
+            raise _refusal_error(
                 ReasonCode.BAD_CURSOR,
                 f'the {len(accepted)} accepted_tokens do not match the '
                 f'{cursor.offset} tokens of output that the cursor covers',
             )
-        live = self._live(
+        live = self._create_live(
             request,
             caller,
             published,
@@ -195,29 +201,29 @@
         self._generations.adopt(live, cursor.agent, cursor.attempt)
         return live
 
-    def _live(
+    def _create_live(
         self,
         request: CompletionRequest,
         caller: Caller,
         published: PublishedVersion,
-        identity: str,
+        generation_id: str,
     ) -> LiveGeneration:
         route = find_route(published, request.model, caller.team)
         service = published.services_by_name[route.service]
         pin = Pin(route.model, route.version, route.adapter)
         now_ms = self._clock.now_ms()
         spec = GenerationSpec(
-            generation=identity,
+            generation=generation_id,
             team=caller.team,
             pin=pin,
             prompt=request.prompt,
             max_tokens=request.max_tokens,
-            deadline_ms=now_ms + _duration_ms(request, service),
+            deadline_ms=now_ms + _timeout_ms(request, service),
             priority=request.priority,
-            fingerprint=fingerprint(caller.team, pin, request.prompt),
+            fingerprint=request_fingerprint(caller.team, pin, request.prompt),
         )
         placement_request = PlacementRequest(
-            generation=identity,
+            generation=generation_id,
             team=caller.team,
             pin=pin,
             prompt_tokens=len(request.prompt) // CHARS_PER_TOKEN,
@@ -266,26 +272,26 @@
     ]
     if not routes:
         valid = ', '.join(sorted(published.routes_by_name))
-        raise _refused(
+        raise _refusal_error(
             ReasonCode.NOT_FOUND,
             f'no route or model is named {model!r}; valid routes: {valid}',
         )
     for route in routes:
         if not route.teams or team in route.teams:
             return route
-    raise _refused(
+    raise _refusal_error(
         ReasonCode.FORBIDDEN,
         f'no route to {model!r} is open to team {team!r}',
     )
 
 
-def _covers(cursor: Cursor, accepted: tuple[str, ...]) -> bool:
+def _matches_cursor(cursor: Cursor, accepted: tuple[str, ...]) -> bool:
     if len(accepted) != cursor.offset:
         return False
     return digest_tokens(accepted) == cursor.output_digest
 
 
-def _duration_ms(request: CompletionRequest, service: Service) -> int:
+def _timeout_ms(request: CompletionRequest, service: Service) -> int:
     if request.deadline_ms > 0:
         return min(request.deadline_ms, service.deadline_ms)
     return service.deadline_ms
@@ -295,5 +301,5 @@
     return '\0'.join((pin.model, pin.version, pin.adapter))
 
 
-def _refused(reason: ReasonCode, detail: str) -> RefusedError:
+def _refusal_error(reason: ReasonCode, detail: str) -> RefusedError:
     return not_run(reason, detail, Step.ADMIT)
--- a/bergamotthread/process/generations/death_log.py
+++ b/bergamotthread/process/generations/death_log.py
@@ -8,10 +8,10 @@
 
 from bergamotthread.clock import Clock
 
-CORRELATION_MS = 5000
+CORRELATION_WINDOW_MS = 5000
 DEATH_RETENTION_MS = 3_600_000
 DEATHS_MAX = 4096
-CORRELATED_MAX = 3
+CORRELATED_DEATHS_THRESHOLD = 3
 
 
 @dataclass(frozen=True)
@@ -53,10 +53,10 @@
         death = Death(failure_domain, now_ms, content_hashes)
         self._death_by_id[death_id] = death
         self._deaths_by_domain.setdefault(failure_domain, []).append(death)
-        self._forget_old()
+        self._evict_old()
         return death_id
 
-    def counted(self, content_hash: int, death_ids: Iterable[int]) -> int:
+    def count_for(self, content_hash: int, death_ids: Iterable[int]) -> int:
         """Return how many deaths count against a fingerprint.
 
         A death is not counted if enough other upstreams of its failure domain,
@@ -71,7 +71,7 @@
             for death in deaths
         )
 
-    def is_scattered_loss(self, death_ids: Iterable[int]) -> bool:
+    def is_simultaneous_loss(self, death_ids: Iterable[int]) -> bool:
         """Return whether each death coincides with many others.
 
         A death does if at least `CORRELATED_MAX` other upstreams, of any
@@ -80,37 +80,38 @@
         """
         deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
         return all(
-            death is not None and self._fell_beside(death) > CORRELATED_MAX
+            death is not None
+            and self._count_nearby(death) > CORRELATED_DEATHS_THRESHOLD
             for death in deaths
         )
 
-    def unsettled_ms(self, death_ids: Iterable[int]) -> float:
+    def correlation_wait_ms(self, death_ids: Iterable[int]) -> float:
         """Return the time in which a death may still prove correlated."""
         deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
         last_ms = max((death.at_ms for death in deaths if death), default=0)
-        return max(0, last_ms + CORRELATION_MS - self.clock.now_ms())
+        return max(0, last_ms + CORRELATION_WINDOW_MS - self.clock.now_ms())
 
-    def _fell_beside(self, death: Death) -> int:
+    def _count_nearby(self, death: Death) -> int:
         """Return how many deaths were close in time, including this one."""
         count = 0
         for other in reversed(self._death_by_id.values()):
-            if other.at_ms < death.at_ms - CORRELATION_MS:
+            if other.at_ms < death.at_ms - CORRELATION_WINDOW_MS:
                 break
-            count += other.at_ms <= death.at_ms + CORRELATION_MS
+            count += other.at_ms <= death.at_ms + CORRELATION_WINDOW_MS
         return count
 
     def _is_correlated(self, content_hash: int, death: Death) -> bool:
         half = self.domain_size(death.failure_domain) // 2
-        needed = max(1, min(half, CORRELATED_MAX))
+        needed = max(1, min(half, CORRELATED_DEATHS_THRESHOLD))
         nearby = (
             other
             for other in self._deaths_by_domain[death.failure_domain]
-            if abs(other.at_ms - death.at_ms) <= CORRELATION_MS
+            if abs(other.at_ms - death.at_ms) <= CORRELATION_WINDOW_MS
             and content_hash not in other.content_hashes
         )
         return len(tuple(itertools.islice(nearby, needed))) == needed
 
-    def _forget_old(self) -> None:
+    def _evict_old(self) -> None:
         """Remove deaths that are past retention or above `DEATHS_MAX`.
 
         Ids and times both increase, so the first entries are the oldest.
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -15,7 +15,7 @@
 from bergamotthread.process.explanations.decision_trace import DecisionTrace
 from bergamotthread.process.generations.generation_guards import (
     GenerationGuards,
-    Go,
+    Proceed,
     Wait,
 )
 from bergamotthread.process.generations.generation_watch import GenerationLimits
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class _Chosen:
+class _DispatchTarget:
     """Agent that the next attempt is sent to.
 
     `suspect` marks a request under which upstreams have died.
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class DriverParts:
+class DriverDependencies:
     """Components that the driver shares with the rest of the entry."""
 
     transport: Transport
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        parts: DriverParts,
+        parts: DriverDependencies,
         clock: Clock,
         limits: GenerationLimits,
     ) -> None:
@@ -91,11 +91,11 @@
     async def drive(self, live: LiveGeneration) -> None:
         """Run attempts until the generation is over."""
         while not live.generation.is_over:
-            chosen = await self._choose(live)
+            chosen = await self._choose_agent(live)
             if chosen is None:
                 break
-            outcome = await self._attempt(live, chosen)
-            self._conclude(live, outcome)
+            outcome = await self._run_attempt(live, chosen)
+            self._handle_outcome(live, outcome)
         live.notify()
 
     async def adopt(
@@ -119,7 +119,7 @@
         fetch = Fetch(generation.spec.generation, place.number, 0)
         self._transport.send(agent, fetch)
         outcome = await pending
-        self._conclude(live, outcome)
+        self._handle_outcome(live, outcome)
         if not generation.is_over:
             self._restore_output(live, agent, outcome)
         await self.drive(live)
@@ -149,39 +149,41 @@
             live,
             ReasonCode.OUTPUT_LOST,
             'the output up to the cursor is not available'
-            f' ({_cause(outcome)}); send it as accepted_tokens',
+            f' ({_describe_outcome(outcome)}); send it as accepted_tokens',
         )
         generation.refuse(msgspec.structs.replace(refusal, peer=agent))
 
-    async def _choose(self, live: LiveGeneration) -> _Chosen | None:
+    async def _choose_agent(
+        self, live: LiveGeneration
+    ) -> _DispatchTarget | None:
         while True:
-            proceed = await self._pass_guards(live)
+            proceed = await self._wait_for_guards(live)
             if proceed is None:
                 return None
             request = self._placement_request(live, proceed)
             try:
-                agent = self._preferred(live, request)
+                agent = self._preferred_agent(live, request)
             except RefusedError as error:
                 refused = error.refusal
             else:
-                return _Chosen(agent, request, proceed.suspect)
+                return _DispatchTarget(agent, request, proceed.is_suspect)
             if not self._may_wait(live, request):
                 live.generation.refuse(placement_refusal(live, refused))
                 return None
             live.excluded = frozenset()
             await self._clock.sleep_ms(PLACEMENT_RETRY_MS)
 
-    async def _pass_guards(self, live: LiveGeneration) -> Go | None:
+    async def _wait_for_guards(self, live: LiveGeneration) -> Proceed | None:
         """Wait until an attempt may start; return None if it is refused."""
         while True:
-            decision: Go | Wait | Refusal | None = limit_refusal(
+            decision: Proceed | Wait | Refusal | None = limit_refusal(
                 live,
                 self._clock.now_ms(),
             )
             if decision is None:
                 decision = self._guards.before_attempt(live)
             match decision:
-                case Go():
+                case Proceed():
                     return decision
                 case Wait(wait_ms=wait_ms):
                     await self._clock.sleep_ms(wait_ms)
@@ -189,7 +191,7 @@
                     live.generation.refuse(decision)
                     return None
 
-    def _preferred(
+    def _preferred_agent(
         self,
         live: LiveGeneration,
         request: PlacementRequest,
@@ -208,24 +210,24 @@
         request: PlacementRequest,
     ) -> bool:
         waited_ms = self._clock.now_ms() - live.interrupted_ms
-        return request.resume and waited_ms <= self._limits.resume_patience_ms
+        return request.resume and waited_ms <= self._limits.resume_timeout_ms
 
     def _placement_request(
         self,
         live: LiveGeneration,
-        go: Go,
+        proceed: Proceed,
     ) -> PlacementRequest:
         return replace(
             live.placement_request,
             accepted_tokens=live.generation.offset,
-            excluded=live.excluded | go.avoided,
+            excluded=live.excluded | proceed.excluded_agents,
             resume=live.may_have_run,
         )
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         live: LiveGeneration,
-        chosen: _Chosen,
+        chosen: _DispatchTarget,
     ) -> Outcome:
         now_ms = self._clock.now_ms()
         agent = chosen.agent
@@ -241,7 +243,7 @@
         finally:
             self._placement.record_end(agent, chosen.request)
 
-    def _conclude(self, live: LiveGeneration, outcome: Outcome) -> None:
+    def _handle_outcome(self, live: LiveGeneration, outcome: Outcome) -> None:
         generation = live.generation
         place = generation.place
         self._trace.outcome(live, outcome)
@@ -254,11 +256,11 @@
                 live.rejection = outcome
                 self._guards.attempt_ended(live, place.agent)
             case Lost():
-                self._conclude_lost(live, outcome)
+                self._handle_loss(live, outcome)
         live.excluded |= {place.agent}
         generation.interrupt()
 
-    def _conclude_lost(self, live: LiveGeneration, lost: Lost) -> None:
+    def _handle_loss(self, live: LiveGeneration, lost: Lost) -> None:
         place = live.generation.place
         live.interrupted_ms = self._clock.now_ms()
         live.must_spend_retry = True
@@ -279,7 +281,7 @@
         self.send_cancel(live, place)
         domain = self._placement.failure_domain(place.agent)
         if lost.is_silence and live.admitted:
-            self._guards.doubt(live, place.agent, domain)
+            self._guards.agent_suspected(live, place.agent, domain)
         else:
             if lost.upstream_died:
                 self._guards.upstream_died(place.agent, domain)
@@ -288,7 +290,7 @@
         self._probe.add(place.agent)
 
 
-def _cause(outcome: Outcome) -> str:
+def _describe_outcome(outcome: Outcome) -> str:
     match outcome:
         case Lost(cause=cause):
             return cause
--- a/bergamotthread/process/generations/generation_guards.py
+++ b/bergamotthread/process/generations/generation_guards.py
@@ -35,19 +35,19 @@
 from bergamotthread.version.published import PublishedVersion
 from bergamotthread.wire.messages import Quarantine
 
-DEATH_REPEAT_MS = 1000
-DOUBT_MS = 10_000
+DEATH_REPORT_WINDOW_MS = 1000
+SUSPICION_TIMEOUT_MS = 10_000
 
 
 @dataclass(frozen=True)
-class Go:
+class Proceed:
     """The next attempt may be sent, but not to the agents in `avoided`.
 
     `suspect` marks a request under which upstreams have died.
     """
 
-    suspect: bool = False
-    avoided: frozenset[str] = frozenset()
+    is_suspect: bool = False
+    excluded_agents: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class _Doubt:
+class _Suspicion:
     """Generations whose attempts were given up at a suspected agent."""
 
     failure_domain: str
@@ -66,7 +66,7 @@
     generations: set[str] = field(default_factory=set)
 
 
-class _NoSink(QuarantineSink):
+class _DiscardingSink(QuarantineSink):
     """Sink that discards quarantines."""
 
     def quarantined(self, notice: Quarantine) -> None:
@@ -81,12 +81,14 @@
         clock: Clock,
         sink: QuarantineSink | None = None,
     ) -> None:
-        self.poison = PoisonGuard(clock, sink or _NoSink(), self._domain_size)
+        self.poison = PoisonGuard(
+            clock, sink or _DiscardingSink(), self._domain_size
+        )
         self.retries = RetryBudget(clock)
         self.overload = OverloadGuard(clock, weight_of=self._weight_of)
         self._clock = clock
         self._death_ms_by_agent: dict[str, float] = {}
-        self._doubts_by_agent: dict[str, _Doubt] = {}
+        self._suspicion_by_agent: dict[str, _Suspicion] = {}
         self._teams_by_name: dict[str, Team] = {}
         self._size_by_domain: Counter[str] = Counter()
 
@@ -122,7 +124,7 @@
         self.overload.record_start(spec.team)
         self.retries.record_start(spec.team)
 
-    def over(self, live: LiveGeneration, run_ms: float) -> None:
+    def generation_ended(self, live: LiveGeneration, run_ms: float) -> None:
         """Count a generation from `admit` or `adopt` as ended."""
         team = live.generation.spec.team
         is_completed = live.generation.end is not None
@@ -135,26 +137,26 @@
         self.overload.record_start(team)
         self.retries.record_start(team)
 
-    def before_attempt(self, live: LiveGeneration) -> Go | Wait | Refusal:
+    def before_attempt(self, live: LiveGeneration) -> Proceed | Wait | Refusal:
         """Decide whether the next attempt of a generation may be sent."""
         content_hash = live.generation.spec.fingerprint
         match self.poison.check(content_hash):
             case Quarantined() as verdict:
-                return self._quarantined(live, verdict)
+                return self._refuse_quarantined(live, verdict)
             case Undecided(wait_ms=wait_ms):
                 return Wait(wait_ms)
             case Suspect():
-                avoided = self.poison.avoided_agents(content_hash)
-                return self._spend_retry(live, Go(True, avoided))
+                avoided = self.poison.agents_with_other_suspects(content_hash)
+                return self._spend_retry(live, Proceed(True, avoided))
             case _:
-                return self._spend_retry(live, Go())
+                return self._spend_retry(live, Proceed())
 
     def attempt_started(self, live: LiveGeneration, agent: str) -> None:
         """Record that an agent confirmed an attempt."""
         spec = live.generation.spec
         self.poison.record_start(agent, spec.generation, spec.fingerprint)
 
-    def progressed(self, live: LiveGeneration, agent: str) -> None:
+    def attempt_progressed(self, live: LiveGeneration, agent: str) -> None:
         """Record that the current attempt has produced tokens."""
         produced = live.generation.offset - live.resumed_at
         generation_id = live.generation.spec.generation
@@ -168,7 +170,7 @@
             completed=live.generation.end is not None,
         )
 
-    def doubt(
+    def agent_suspected(
         self,
         live: LiveGeneration,
         agent: str,
@@ -180,19 +182,19 @@
         when the agent sends a message again, or is assumed after `DOUBT_MS`.
         """
         now_ms = self._clock.now_ms()
-        suspicion = self._doubts_by_agent.setdefault(
+        suspicion = self._suspicion_by_agent.setdefault(
             agent,
-            _Doubt(failure_domain, now_ms),
+            _Suspicion(failure_domain, now_ms),
         )
         suspicion.generations.add(live.generation.spec.generation)
 
-    def heard(self, agent: str, *, is_new: bool) -> None:
+    def agent_responded(self, agent: str, *, is_new: bool) -> None:
         """Record that an agent sent a message.
 
         With `is_new` the message came from a newer process at the agent's
         address, so the earlier one is counted as dead.
         """
-        suspicion = self._doubts_by_agent.pop(agent, None)
+        suspicion = self._suspicion_by_agent.pop(agent, None)
         if suspicion is None:
             return
         if is_new:
@@ -201,12 +203,12 @@
         for generation in suspicion.generations:
             self.poison.record_end(agent, generation, completed=False)
 
-    def settle_doubts(self) -> None:
+    def expire_suspicions(self) -> None:
         """Count agents that were suspected for `DOUBT_MS` as dead."""
-        before_ms = self._clock.now_ms() - DOUBT_MS
-        for agent, suspicion in tuple(self._doubts_by_agent.items()):
+        before_ms = self._clock.now_ms() - SUSPICION_TIMEOUT_MS
+        for agent, suspicion in tuple(self._suspicion_by_agent.items()):
             if suspicion.since_ms <= before_ms:
-                self._doubts_by_agent.pop(agent)
+                self._suspicion_by_agent.pop(agent)
                 self.upstream_died(agent, suspicion.failure_domain)
 
     def upstream_died(self, agent: str, failure_domain: str) -> None:
@@ -216,9 +218,11 @@
         death and are ignored.
         """
         now_ms = self._clock.now_ms()
-        since_ms = now_ms - self._death_ms_by_agent.get(agent, -DEATH_REPEAT_MS)
+        since_ms = now_ms - self._death_ms_by_agent.get(
+            agent, -DEATH_REPORT_WINDOW_MS
+        )
         self._death_ms_by_agent[agent] = now_ms
-        if since_ms >= DEATH_REPEAT_MS:
+        if since_ms >= DEATH_REPORT_WINDOW_MS:
             self.poison.record_death(agent, failure_domain)
 
     def _weight_of(self, team: str) -> float:
@@ -228,7 +232,7 @@
     def _domain_size(self, failure_domain: str) -> int:
         return self._size_by_domain[failure_domain] or DEFAULT_DOMAIN_SIZE
 
-    def _quarantined(
+    def _refuse_quarantined(
         self,
         live: LiveGeneration,
         verdict: Quarantined,
@@ -236,9 +240,11 @@
         ran = Ran.MAYBE if live.may_have_run else Ran.NOT_RUN
         return quarantine_refusal(verdict, ran=ran)
 
-    def _spend_retry(self, live: LiveGeneration, go: Go) -> Go | Refusal:
+    def _spend_retry(
+        self, live: LiveGeneration, proceed: Proceed
+    ) -> Proceed | Refusal:
         if not live.must_spend_retry:
-            return go
+            return proceed
         decision = self.retries.spend(
             live.generation.spec.team,
             resume=live.may_have_run,
@@ -255,4 +261,4 @@
                 retry_after_ms=decision.retry_after_ms,
             )
         live.must_spend_retry = False
-        return go
+        return proceed
--- a/bergamotthread/process/generations/generation_watch.py
+++ b/bergamotthread/process/generations/generation_watch.py
@@ -7,11 +7,11 @@
 from bergamotthread.connection.peer_histories import PeerHistories
 from bergamotthread.request.live_generation import LiveGeneration, Lost
 
-RETENTION_MS = 60_000
+UNDELIVERED_RETENTION_MS = 60_000
 DELIVERED_RETENTION_MS = 5000
 # With a larger backlog the agent may have paused the engine for a slow caller,
 # so the engine's silence does not count as a stall.
-BACKLOG_TOKENS = 32
+BACKLOG_MAX_TOKENS = 32
 
 
 @dataclass(frozen=True)
@@ -39,7 +39,7 @@
     admit_timeout_ms: float = 600
     first_token_timeout_ms: float = 10_000
     resumed_token_timeout_ms: float = 5000
-    resume_patience_ms: float = 15_000
+    resume_timeout_ms: float = 15_000
     adopt_timeout_ms: float = 2000
     reconnect_grace_ms: float = 10_000
 
@@ -55,7 +55,7 @@
         self._peers = peers
         self._limits = limits
 
-    def loss(self, live: LiveGeneration, now_ms: float) -> Lost | None:
+    def find_loss(self, live: LiveGeneration, now_ms: float) -> Lost | None:
         """Return how the current attempt was lost, None if it was not."""
         place = live.generation.place
         if not place.agent:
@@ -63,12 +63,12 @@
         if now_ms >= live.generation.spec.deadline_ms:
             return Lost('deadline passed')
         if live.awaits_output:
-            return self._unfetched_loss(live, now_ms)
+            return self._adoption_loss(live, now_ms)
         if self._peers.is_suspected(place.agent):
             return Lost('agent silent', is_silence=True)
         if not live.confirmed:
             return self._unconfirmed_loss(live, now_ms)
-        if live.backlog > BACKLOG_TOKENS:
+        if live.backlog > BACKLOG_MAX_TOKENS:
             live.progress.restart(now_ms)
         elif live.admitted and live.progress.is_suspected(now_ms):
             return self._stalled_loss(live, now_ms)
@@ -86,10 +86,12 @@
         if live.readers or not live.generation.is_over:
             return False
         is_delivered = live.backlog == 0
-        retention_ms = DELIVERED_RETENTION_MS if is_delivered else RETENTION_MS
+        retention_ms = (
+            DELIVERED_RETENTION_MS if is_delivered else UNDELIVERED_RETENTION_MS
+        )
         return now_ms - live.abandoned_ms > retention_ms
 
-    def _unfetched_loss(
+    def _adoption_loss(
         self,
         live: LiveGeneration,
         now_ms: float,
--- a/bergamotthread/process/generations/generations.py
+++ b/bergamotthread/process/generations/generations.py
@@ -13,7 +13,7 @@
 from bergamotthread.connection.peer_histories import PeerHistories
 from bergamotthread.connection.transport import Transport
 from bergamotthread.process.generations.generation_driver import (
-    DriverParts,
+    DriverDependencies,
     GenerationDriver,
 )
 from bergamotthread.process.generations.generation_guards import (
@@ -87,7 +87,7 @@
         self._clock = clock
         self._peers = PeerHistories(clock)
         self._probe = LostAgentProber(transport, clock)
-        parts = DriverParts(
+        parts = DriverDependencies(
             transport,
             placement,
             self.guards,
@@ -106,7 +106,7 @@
             group.create_task(self._acknowledge_forever())
             group.create_task(self._release_forever())
 
-    def put_in_force(self, published: PublishedVersion) -> None:
+    def apply_version(self, published: PublishedVersion) -> None:
         """Apply a published version if it is newer than the current one."""
         if published.version > self.config_version:
             self.config_version = published.version
@@ -148,33 +148,33 @@
     def on_message(self, envelope: Envelope) -> None:
         """Handle a message from an agent."""
         is_new = self._peers.record(envelope.sender, envelope.incarnation)
-        self.guards.heard(envelope.sender, is_new=is_new)
+        self.guards.agent_responded(envelope.sender, is_new=is_new)
         if is_new:
-            self._lose_earlier(envelope.sender, envelope.incarnation)
+            self._settle_replaced(envelope.sender, envelope.incarnation)
         match envelope.message:
             case OutputBatch() as batch:
                 self._on_batch(batch, envelope)
             case Admitted(generation=generation, attempt=attempt):
-                live = self._current(generation, attempt, envelope)
+                live = self._find_current(generation, attempt, envelope)
                 if live is not None:
-                    self._admit(live)
+                    self._record_admission(live)
                     self._trace.confirmed(live)
                     live.progress.restart(self._clock.now_ms())
             case Waiting(generation=generation, attempt=attempt):
-                live = self._current(generation, attempt, envelope)
+                live = self._find_current(generation, attempt, envelope)
                 if live is not None:
                     live.confirmed = True
                     self._trace.confirmed(live, dispatched=False)
             case Declined() as declined:
                 self._on_declined(declined, envelope)
             case Missing(generation=generation, attempt=attempt):
-                live = self._current(generation, attempt, envelope)
+                live = self._find_current(generation, attempt, envelope)
                 if live is not None:
                     live.settle(Lost('output not held by agent'))
             case Revoked() as revoked:
                 self._on_revoked(revoked, envelope.sender)
 
-    def watch_once(self) -> None:
+    def check_running(self) -> None:
         """Check all running generations for losses and abandonment."""
         now_ms = self._clock.now_ms()
         for generation_id, live in tuple(self._running_by_id.items()):
@@ -185,7 +185,7 @@
             else:
                 if live.awaits_output:
                     self._fetch(live)
-                lost = self._watch.loss(live, now_ms)
+                lost = self._watch.find_loss(live, now_ms)
                 if lost is not None:
                     self._placement.record_loss(live.generation.place.agent)
                     live.settle(lost)
@@ -200,11 +200,13 @@
         self._running_by_id[generation_id] = live
         self._trace.admitted(live)
         live.task = asyncio.create_task(work)
-        live.task.add_done_callback(partial(self._on_over, live))
+        live.task.add_done_callback(partial(self._on_task_done, live))
 
-    def _on_over(self, live: LiveGeneration, task: asyncio.Task[None]) -> None:
+    def _on_task_done(
+        self, live: LiveGeneration, task: asyncio.Task[None]
+    ) -> None:
         run_ms = self._clock.now_ms() - live.started_ms
-        self.guards.over(live, run_ms)
+        self.guards.generation_ended(live, run_ms)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             logging.error(
@@ -216,7 +218,7 @@
             live.notify()
         self._trace.end(live)
 
-    def _lose_earlier(self, peer: str, incarnation: int) -> None:
+    def _settle_replaced(self, peer: str, incarnation: int) -> None:
         for live in self.by_id.values():
             place = live.generation.place
             if place.agent == peer and 0 < place.incarnation < incarnation:
@@ -229,7 +231,7 @@
             live.unconfirmed.discard(place)
             self._trace.revoked(live, revoked.attempt, agent)
 
-    def _current(
+    def _find_current(
         self,
         generation: str,
         attempt: int,
@@ -253,7 +255,7 @@
         for frame in batch.frames:
             live = self.by_id.get(frame.generation)
             if live is None:
-                self._drop(frame, envelope.sender)
+                self._cancel_stale(frame, envelope.sender)
             else:
                 self._on_frame(live, frame, envelope)
 
@@ -273,17 +275,17 @@
             case Verdict.ACCEPTED:
                 self._on_progress(live, frame)
             case Verdict.STALE:
-                self._drop(frame, envelope.sender)
+                self._cancel_stale(frame, envelope.sender)
             case Verdict.GAP:
                 self._fetch(live)
             case Verdict.CORRUPT:
                 live.settle(Lost('end mark contradicts the output'))
 
     def _on_progress(self, live: LiveGeneration, frame: Frame) -> None:
-        self._admit(live)
+        self._record_admission(live)
         if frame.tokens:
             self._record_tokens(live, len(frame.tokens))
-            self.guards.progressed(live, live.generation.place.agent)
+            self.guards.attempt_progressed(live, live.generation.place.agent)
             self.standbys.progressed(live)
         if live.generation.is_over:
             live.settle(Finished())
@@ -291,7 +293,7 @@
             live.settle(outcome_of(frame.end.reason))
         live.notify()
 
-    def _admit(self, live: LiveGeneration) -> None:
+    def _record_admission(self, live: LiveGeneration) -> None:
         if not live.admitted:
             live.admit()
             self.guards.attempt_started(live, live.generation.place.agent)
@@ -310,11 +312,13 @@
             self._metrics.first_token(now_ms - live.started_ms)
 
     def _on_declined(self, declined: Declined, envelope: Envelope) -> None:
-        live = self._current(declined.generation, declined.attempt, envelope)
+        live = self._find_current(
+            declined.generation, declined.attempt, envelope
+        )
         if live is not None:
             live.settle(Rejected(declined.reason, declined.retry_after_ms))
 
-    def _drop(self, frame: Frame, agent: str) -> None:
+    def _cancel_stale(self, frame: Frame, agent: str) -> None:
         live = self.by_id.get(frame.generation)
         if live is not None and live.generation.place.agent == agent:
             return
@@ -338,12 +342,12 @@
         while True:
             await self._clock.sleep_ms(WATCH_INTERVAL_MS)
             self._probe.send_due()
-            self.watch_once()
+            self.check_running()
 
     async def _release_forever(self) -> None:
         while True:
             await self._clock.sleep_ms(RELEASE_INTERVAL_MS)
-            self.guards.settle_doubts()
+            self.guards.expire_suspicions()
             now_ms = self._clock.now_ms()
             for generation_id, live in tuple(self.by_id.items()):
                 if self._watch.is_releasable(live, now_ms):
--- a/bergamotthread/process/generations/output_flusher.py
+++ b/bergamotthread/process/generations/output_flusher.py
@@ -10,7 +10,7 @@
 from bergamotthread.request.output_buffer import OutputBuffer
 from bergamotthread.wire.messages import Frame, LoadReport, OutputBatch
 
-BEAT_INTERVAL_MS = 100
+HEARTBEAT_INTERVAL_MS = 100
 
 
 class OutputFlusher:
@@ -25,16 +25,16 @@
         self.config_version = 0
         self._transport = transport
         self._clock = clock
-        self._fresh: dict[OutputBuffer, None] = {}
+        self._marked: dict[OutputBuffer, None] = {}
         self._sent_ms_by_entry: dict[str, float] = {}
-        self._has_fresh = asyncio.Event()
+        self._has_marked = asyncio.Event()
 
     def mark(self, buffer: OutputBuffer) -> None:
         """Mark `buffer` so that the next flush sends its new output."""
-        self._fresh[buffer] = None
-        self._has_fresh.set()
+        self._marked[buffer] = None
+        self._has_marked.set()
 
-    async def wait_marked(self, limit_ms: float) -> bool:
+    async def wait_marked(self, timeout_ms: float) -> bool:
         """Wait up to `limit_ms` for output to send.
 
         Returns
@@ -43,32 +43,32 @@
             Whether there is output to send.
         """
         try:
-            async with self._clock.timeout_ms(limit_ms):
-                return await self._has_fresh.wait()
+            async with self._clock.timeout_ms(timeout_ms):
+                return await self._has_marked.wait()
         except TimeoutError:
             return False
 
     def marked(self) -> tuple[OutputBuffer, ...]:
         """Return the buffers whose output the next flush sends."""
-        return tuple(self._fresh)
+        return tuple(self._marked)
 
     def flush(self) -> None:
         """Send all marked output now."""
         frames_by_entry: dict[str, list[Frame]] = defaultdict(list)
-        for buffer in self._fresh:
+        for buffer in self._marked:
             frame = buffer.take_frame()
             if frame is not None:
                 frames_by_entry[buffer.subscriber].append(frame)
-        self._fresh.clear()
-        self._has_fresh.clear()
+        self._marked.clear()
+        self._has_marked.clear()
         for entry, frames in frames_by_entry.items():
             self._send(entry, tuple(frames))
 
-    def report(self, entry: str) -> None:
+    def send_load_report(self, entry: str) -> None:
         """Send the load report to an entry that requested it."""
         self._send(entry, ())
 
-    def beat(self, entries: set[str]) -> None:
+    def send_heartbeats(self, entries: set[str]) -> None:
         """Send a heartbeat to each of `entries` whose interval has passed.
 
         Send times of all other entries are removed.
@@ -76,7 +76,7 @@
         now_ms = self._clock.now_ms()
         for entry in entries:
             silent_ms = now_ms - self._sent_ms_by_entry.get(entry, 0)
-            if silent_ms >= BEAT_INTERVAL_MS:
+            if silent_ms >= HEARTBEAT_INTERVAL_MS:
                 self._send(entry, ())
         for unused_entry in self._sent_ms_by_entry.keys() - entries:
             self._sent_ms_by_entry.pop(unused_entry)
--- a/bergamotthread/process/generations/poison.py
+++ b/bergamotthread/process/generations/poison.py
@@ -20,10 +20,12 @@
 from bergamotthread.clock import Clock
 from bergamotthread.errors import Step
 from bergamotthread.process.generations.death_log import (
-    CORRELATION_MS,
+    CORRELATION_WINDOW_MS,
     DeathLog,
 )
-from bergamotthread.process.generations.running_attempts import CLEARING_TOKENS
+from bergamotthread.process.generations.running_attempts import (
+    PROGRESS_MIN_TOKENS,
+)
 from bergamotthread.request.refusal import Ran, ReasonCode, Refusal
 from bergamotthread.wire.messages import Pin, Quarantine
 
@@ -35,7 +37,7 @@
 _FIELD_SEPARATOR = '\x1f'
 
 
-def fingerprint(team: str, pin: Pin, prompt: str) -> int:
+def request_fingerprint(team: str, pin: Pin, prompt: str) -> int:
     """Return the non-zero 64-bit fingerprint of a request's content."""
     parts = (team, pin.model, pin.version, pin.adapter, prompt)
     joined = _FIELD_SEPARATOR.join(parts).encode()
@@ -76,7 +78,7 @@
     remaining_ms: float
 
 
-Verdict = Clear | Suspect | Undecided | Quarantined
+PoisonVerdict = Clear | Suspect | Undecided | Quarantined
 
 
 class QuarantineSink(Protocol):
@@ -128,12 +130,12 @@
     _record_by_fingerprint: OrderedDict[int, _Record] = field(
         default_factory=OrderedDict,
     )
-    _unsettled: set[int] = field(default_factory=set)
+    _changed_fingerprints: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self.deaths = DeathLog(self.clock, self.domain_size)
 
-    def check(self, content_hash: int) -> Verdict:
+    def check(self, content_hash: int) -> PoisonVerdict:
         """Return whether an attempt with this fingerprint may be sent."""
         record = self._record_by_fingerprint.get(content_hash)
         if record is None:
@@ -142,17 +144,19 @@
         if record.quarantined_until_ms > now_ms:
             remaining_ms = record.quarantined_until_ms - now_ms
             return Quarantined(record.confirmed_deaths, remaining_ms)
-        counted = self._counted(content_hash, record)
+        counted = self._counted_deaths(content_hash, record)
         if counted < COUNTED_DEATHS_MAX and record.charged < CHARGED_DEATHS_MAX:
-            is_suspect = self._is_suspicious(record, counted)
+            is_suspect = self._needs_isolation(record, counted)
             return Suspect(counted) if is_suspect else Clear()
         if record.charged < CHARGED_DEATHS_MAX:
-            wait_ms = self._unsettled_ms(record)
+            wait_ms = self._correlation_wait_ms(record)
             if wait_ms > 0:
                 return Undecided(counted, wait_ms)
-        return self._confirm(content_hash, record, max(counted, record.charged))
+        return self._quarantine(
+            content_hash, record, max(counted, record.charged)
+        )
 
-    def avoided_agents(self, content_hash: int) -> frozenset[str]:
+    def agents_with_other_suspects(self, content_hash: int) -> frozenset[str]:
         """Return the agents that run another suspect request.
 
         Only requests that this process sent are known.
@@ -161,7 +165,8 @@
             agent
             for agent, attempts in self._attempts_by_agent.items()
             if any(
-                attempt.fingerprint != content_hash and self._endangers(attempt)
+                attempt.fingerprint != content_hash
+                and self._is_suspect_attempt(attempt)
                 for attempt in attempts.values()
             )
         )
@@ -187,11 +192,11 @@
         """Record the total number of tokens that an attempt has produced."""
         attempts = self._attempts_by_agent.get(agent, {})
         attempt = attempts.get(generation)
-        if attempt is None or attempt.produced >= CLEARING_TOKENS:
+        if attempt is None or attempt.produced >= PROGRESS_MIN_TOKENS:
             return
         attempts[generation] = replace(attempt, produced=produced)
-        if produced >= CLEARING_TOKENS:
-            self._clear_counted(attempt.fingerprint)
+        if produced >= PROGRESS_MIN_TOKENS:
+            self._clear_counted_deaths(attempt.fingerprint)
 
     def record_end(
         self,
@@ -206,7 +211,7 @@
             return
         record = self._record_by_fingerprint.get(attempt.fingerprint)
         if record is not None and not record.quarantined_until_ms:
-            self._clear_counted(attempt.fingerprint)
+            self._clear_counted_deaths(attempt.fingerprint)
             record.charged = 0
 
     def record_death(self, agent: str, failure_domain: str) -> None:
@@ -225,35 +230,37 @@
             record = self._record(content_hash)
             record.death_ids.append(death_id)
             record.charged += 1
-        self._unsettled |= content_hashes
+        self._changed_fingerprints |= content_hashes
 
-    def take_charges(self) -> tuple[Quarantine, ...]:
+    def pop_changed_charges(self) -> tuple[Quarantine, ...]:
         """Return the charges of this process that changed since the last call.
 
         A charge that rose and fell back between two calls, as in the loss of a
         failure domain, is not returned.
         """
         changed: list[Quarantine] = []
-        for content_hash in sorted(self._unsettled):
+        for content_hash in sorted(self._changed_fingerprints):
             record = self._record(content_hash)
-            own = self.deaths.counted(content_hash, record.death_ids)
+            own = self.deaths.count_for(content_hash, record.death_ids)
             if own != record.told:
                 record.told = own
                 changed.append(Quarantine(content_hash, own, confirmed=False))
-            if not self.deaths.unsettled_ms(record.death_ids):
-                self._unsettled.discard(content_hash)
+            if not self.deaths.correlation_wait_ms(record.death_ids):
+                self._changed_fingerprints.discard(content_hash)
         return tuple(changed)
 
     def merge(self, sender: str, notice: Quarantine) -> None:
         """Apply charges or a confirmed quarantine from another entry."""
         record = self._record(notice.fingerprint)
         if notice.confirmed:
-            self.restore(notice, QUARANTINE_MS)
+            self.restore_quarantine(notice, QUARANTINE_MS)
         else:
             record.deaths_by_peer[sender] = notice.deaths
             record.peer_ms = self.clock.now_ms()
 
-    def restore(self, notice: Quarantine, remaining_ms: float) -> None:
+    def restore_quarantine(
+        self, notice: Quarantine, remaining_ms: float
+    ) -> None:
         """Apply an existing quarantine, such as one read from the table."""
         record = self._record(notice.fingerprint)
         record.confirmed_deaths = max(record.confirmed_deaths, notice.deaths)
@@ -263,22 +270,22 @@
         """Remove a fingerprint that an operator released."""
         self._record_by_fingerprint.pop(content_hash, None)
 
-    def _counted(self, content_hash: int, record: _Record) -> int:
-        own = self.deaths.counted(content_hash, record.death_ids)
+    def _counted_deaths(self, content_hash: int, record: _Record) -> int:
+        own = self.deaths.count_for(content_hash, record.death_ids)
         return own + sum(record.deaths_by_peer.values())
 
-    def _unsettled_ms(self, record: _Record) -> float:
-        peer_ms = record.peer_ms + CORRELATION_MS - self.clock.now_ms()
-        return max(peer_ms, self.deaths.unsettled_ms(record.death_ids))
+    def _correlation_wait_ms(self, record: _Record) -> float:
+        peer_ms = record.peer_ms + CORRELATION_WINDOW_MS - self.clock.now_ms()
+        return max(peer_ms, self.deaths.correlation_wait_ms(record.death_ids))
 
-    def _endangers(self, attempt: _Attempt) -> bool:
+    def _is_suspect_attempt(self, attempt: _Attempt) -> bool:
         record = self._record_by_fingerprint.get(attempt.fingerprint)
-        if record is None or attempt.produced >= CLEARING_TOKENS:
+        if record is None or attempt.produced >= PROGRESS_MIN_TOKENS:
             return False
-        counted = self._counted(attempt.fingerprint, record)
-        return self._is_suspicious(record, counted)
+        counted = self._counted_deaths(attempt.fingerprint, record)
+        return self._needs_isolation(record, counted)
 
-    def _is_suspicious(self, record: _Record, counted: int) -> bool:
+    def _needs_isolation(self, record: _Record, counted: int) -> bool:
         """Return whether a request must be isolated from other suspects.
 
         After the loss of many upstreams at once, all requests that ran on them
@@ -288,23 +295,23 @@
         """
         if counted != 1 or not record.death_ids:
             return counted > 0
-        return not self.deaths.is_scattered_loss(record.death_ids)
+        return not self.deaths.is_simultaneous_loss(record.death_ids)
 
-    def _confirm(
+    def _quarantine(
         self, content_hash: int, record: _Record, deaths: int
-    ) -> Verdict:
+    ) -> PoisonVerdict:
         record.confirmed_deaths = deaths
         record.quarantined_until_ms = self.clock.now_ms() + QUARANTINE_MS
         self.sink.quarantined(Quarantine(content_hash, deaths, confirmed=True))
         return Quarantined(deaths, QUARANTINE_MS)
 
-    def _clear_counted(self, content_hash: int) -> None:
+    def _clear_counted_deaths(self, content_hash: int) -> None:
         record = self._record_by_fingerprint.get(content_hash)
         if record is None or record.quarantined_until_ms:
             return
         record.death_ids.clear()
         record.deaths_by_peer.clear()
-        self._unsettled.add(content_hash)
+        self._changed_fingerprints.add(content_hash)
 
     def _record(self, content_hash: int) -> _Record:
         record = self._record_by_fingerprint.setdefault(content_hash, _Record())
@@ -329,6 +336,6 @@
         figures={
             'deaths': verdict.deaths,
             'counted_deaths_max': COUNTED_DEATHS_MAX,
-            'correlation_ms': CORRELATION_MS,
+            'correlation_ms': CORRELATION_WINDOW_MS,
         },
     )
--- a/bergamotthread/process/generations/quarantine_store.py
+++ b/bergamotthread/process/generations/quarantine_store.py
@@ -21,7 +21,7 @@
 
 QUARANTINE_PREFIX = 'quarantine/'
 QUARANTINE_ROWS_MAX = 1000
-UNSAVED_MAX = 256
+UNSAVED_ROWS_MAX = 256
 
 
 class QuarantineRow(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
     decided_by: str
 
 
-class AuditSink(Protocol):
+class QuarantineAuditSink(Protocol):
     """Receiver of records for the audit trail."""
 
     def quarantine_recorded(self, row: QuarantineRow) -> None:
@@ -57,9 +57,9 @@
     clock: Clock
     transport: Transport
     table: Table
-    audit: AuditSink
+    audit: QuarantineAuditSink
     peers: Callable[[], tuple[str, ...]]
-    lost_rows: int = 0
+    dropped_rows: int = 0
     _unsaved: list[QuarantineRow] = field(default_factory=list)
 
     def quarantined(self, notice: Quarantine) -> None:
@@ -68,7 +68,7 @@
         If more than `UNSAVED_MAX` rows are queued, the oldest one is dropped
         and counted in `lost_rows`.
         """
-        self._tell_peers(notice)
+        self._send_to_peers(notice)
         row = QuarantineRow(
             fingerprint=notice.fingerprint,
             deaths=notice.deaths,
@@ -77,14 +77,14 @@
         )
         self.audit.quarantine_recorded(row)
         self._unsaved.append(row)
-        if len(self._unsaved) > UNSAVED_MAX:
+        if len(self._unsaved) > UNSAVED_ROWS_MAX:
             self._unsaved.pop(0)
-            self.lost_rows += 1
+            self.dropped_rows += 1
 
     def flush(self, guard: PoisonGuard) -> None:
         """Send changed charges to peers; called about once a second."""
-        for notice in guard.take_charges():
-            self._tell_peers(notice)
+        for notice in guard.pop_changed_charges():
+            self._send_to_peers(notice)
 
     async def save(self) -> None:
         """Write all queued rows to the table.
@@ -112,7 +112,7 @@
             row = msgspec.json.decode(stored.body, type=QuarantineRow)
             notice = Quarantine(row.fingerprint, row.deaths, confirmed=True)
             if row.until_ms > calendar_ms:
-                guard.restore(notice, row.until_ms - calendar_ms)
+                guard.restore_quarantine(notice, row.until_ms - calendar_ms)
 
     async def _write(self, row: QuarantineRow) -> None:
         key = quarantine_key(row.fingerprint)
@@ -127,6 +127,6 @@
         except StoreConflictError:
             return
 
-    def _tell_peers(self, notice: Quarantine) -> None:
+    def _send_to_peers(self, notice: Quarantine) -> None:
         for peer in self.peers():
             self.transport.send(peer, notice)
--- a/bergamotthread/process/generations/quarantines.py
+++ b/bergamotthread/process/generations/quarantines.py
@@ -10,7 +10,7 @@
 from bergamotthread.errors import StoreUnavailableError
 from bergamotthread.process.generations.poison import PoisonGuard
 from bergamotthread.process.generations.quarantine_store import (
-    AuditSink,
+    QuarantineAuditSink,
     QuarantinePublisher,
 )
 from bergamotthread.process.store.platform import Table
@@ -29,7 +29,7 @@
         self,
         transport: Transport,
         table: Table,
-        audit: AuditSink,
+        audit: QuarantineAuditSink,
         peers: Callable[[], tuple[str, ...]],
         clock: Clock,
     ) -> None:
@@ -51,14 +51,14 @@
             if self.guard is not None:
                 self.publisher.flush(self.guard)
             with contextlib.suppress(StoreUnavailableError):
-                await self._exchange()
+                await self._synchronise()
 
     def on_message(self, envelope: Envelope) -> None:
         """Apply a charge or quarantine from a peer."""
         if isinstance(envelope.message, Quarantine) and self.guard:
             self.guard.merge(envelope.sender, envelope.message)
 
-    async def _exchange(self) -> None:
+    async def _synchronise(self) -> None:
         if not self._is_loaded and self.guard is not None:
             await self.publisher.load(self.guard)
             self._is_loaded = True
--- a/bergamotthread/process/generations/running_attempts.py
+++ b/bergamotthread/process/generations/running_attempts.py
@@ -10,9 +10,9 @@
 
 DEFAULT_OUTPUT_TOKENS = 300
 DEFAULT_RUN_MS = 10_000
-DEFAULT_PREFILL_PER_S = 8000
+DEFAULT_PREFILL_TOKENS_PER_S = 8000
 PREFILL_SAMPLE_MIN_TOKENS = 256
-CLEARING_TOKENS = 16
+PROGRESS_MIN_TOKENS = 16
 _SMOOTHING = 0.05
 _RATE_DECAY = 0.9
 _MS_PER_S = 1000
@@ -53,7 +53,7 @@
     output_tokens: float = DEFAULT_OUTPUT_TOKENS
     run_ms: float = DEFAULT_RUN_MS
     between_tokens_ms: float = 0
-    _prefill_tokens: float = DEFAULT_PREFILL_PER_S
+    _prefill_tokens: float = DEFAULT_PREFILL_TOKENS_PER_S
     _prefill_ms: float = _MS_PER_S
 
     @property
@@ -111,10 +111,10 @@
         )
 
     @property
-    def suspects(self) -> int:
+    def suspect_count(self) -> int:
         """Number of suspect attempts with fewer than `CLEARING_TOKENS`."""
         return sum(
-            attempt.dispatch.suspect and attempt.produced < CLEARING_TOKENS
+            attempt.dispatch.suspect and attempt.produced < PROGRESS_MIN_TOKENS
             for attempt in self.by_key.values()
         )
 
@@ -124,7 +124,7 @@
             attempt.dispatch.team for attempt in self.by_key.values()
         )
 
-    def prefill_left(self, now_ms: float) -> float:
+    def remaining_prefill_tokens(self, now_ms: float) -> float:
         """Return an estimate of the prefill tokens still to be computed."""
         per_ms = self.statistics.prefill_per_s / _MS_PER_S
         return sum(
--- a/bergamotthread/process/overload/admission.py
+++ b/bergamotthread/process/overload/admission.py
@@ -241,7 +241,9 @@
         waiting = [queued.dispatch for queued in self._queue.waiting]
         context_tokens = sum(self._context_tokens(queued) for queued in waiting)
         prefill_tokens = sum(self._prefill_tokens(queued) for queued in waiting)
-        prefill_tokens += int(self.running.prefill_left(self.clock.now_ms()))
+        prefill_tokens += int(
+            self.running.remaining_prefill_tokens(self.clock.now_ms())
+        )
         statistics = self.running.statistics
         return LoadReport(
             running=len(self.running),
@@ -333,7 +335,7 @@
         return None
 
     def _must_wait(self, queued: QueuedDispatch, running: int) -> bool:
-        if queued.dispatch.suspect and self.running.suspects:
+        if queued.dispatch.suspect and self.running.suspect_count:
             return True
         if queued.has_priority or running == 0:
             return False
@@ -398,7 +400,9 @@
         ahead = self._queue.ahead_of(queued)
         statistics = self.running.statistics
         waiting = self._queue.waiting[:ahead]
-        prefill_tokens = self.running.prefill_left(self.clock.now_ms())
+        prefill_tokens = self.running.remaining_prefill_tokens(
+            self.clock.now_ms()
+        )
         prefill_tokens += sum(
             self._prefill_tokens(other.dispatch) for other in waiting
         )
--- a/bergamotthread/request/call_agents.py
+++ b/bergamotthread/request/call_agents.py
@@ -88,7 +88,7 @@
         self.transport.send(action.sending.agent, self._dispatch(action))
         wait_ms = min(
             self.request.timeout_ms,
-            max(0, remaining_ms - self.limits.ask_ms),
+            max(0, remaining_ms - self.limits.outcome_timeout_ms),
         )
         event = await self._outcome(mailbox, action.sending, wait_ms)
         if event is not None:
@@ -98,7 +98,7 @@
         event = await self._outcome(
             mailbox,
             action.sending,
-            min(remaining_ms, self.limits.ask_ms),
+            min(remaining_ms, self.limits.outcome_timeout_ms),
         )
         return event or GaveUp()
 
@@ -111,7 +111,7 @@
             event = await self._outcome(
                 mailbox,
                 action.sending,
-                self.limits.ask_ms / 2,
+                self.limits.outcome_timeout_ms / 2,
             )
             if event is not None:
                 return event
@@ -155,7 +155,9 @@
         with self.mailboxes.opened(self.owner, OFFER_TICKET) as mailbox:
             self.transport.send(agent, CallOffer(self.owner))
             try:
-                async with asyncio.timeout(self.limits.offer_ms / _MS_PER_S):
+                async with asyncio.timeout(
+                    self.limits.offer_timeout_ms / _MS_PER_S
+                ):
                     return await self._offered(agent, mailbox)
             except TimeoutError:
                 self.declined.append(f'{agent}: no answer')
--- a/bergamotthread/request/call_store.py
+++ b/bergamotthread/request/call_store.py
@@ -87,7 +87,7 @@
     _polls: int = 0
 
     def __post_init__(self) -> None:
-        limit_ms = self.limits.store_wait_ms
+        limit_ms = self.limits.store_timeout_ms
         self._reads = _Patience(self.clock, self.rng, limit_ms)
         self._writes = _Patience(self.clock, self.rng, limit_ms)
 
@@ -133,8 +133,8 @@
         """Read the row after a pause that doubles with each poll."""
         doublings = min(self._polls, _MAX_DOUBLINGS)
         self._polls += 1
-        grown_ms = self.limits.poll_ms * _GROWTH**doublings
-        pause_ms = min(self.limits.poll_max_ms, grown_ms)
+        grown_ms = self.limits.poll_interval_ms * _GROWTH**doublings
+        pause_ms = min(self.limits.poll_interval_max_ms, grown_ms)
         jitter = self.rng.uniform(_JITTER_MIN, 1)
         await self.clock.sleep_ms(pause_ms * jitter)
         return await self.read()
--- a/bergamotthread/request/guarded_call.py
+++ b/bergamotthread/request/guarded_call.py
@@ -132,7 +132,9 @@
             else:
                 event = await self._bounded(action)
         if event is None and progress.phase is Phase.PARKED:
-            return await self.agents.late_reply(self.limits.park_ms)
+            return await self.agents.late_reply(
+                self.limits.late_answer_timeout_ms
+            )
         return event
 
     async def _bounded(self, action: Action) -> Event:
@@ -197,8 +199,8 @@
         return asyncio.ensure_future(self.agents.choose())
 
     async def _answer(self, answer: Answer) -> None:
-        self._limit_ms = self.clock.now_ms() + self.limits.settle_ms
-        self.store.wait_at_most(self.limits.settle_ms)
+        self._limit_ms = self.clock.now_ms() + self.limits.settle_timeout_ms
+        self.store.wait_at_most(self.limits.settle_timeout_ms)
         if self.answer.done():
             return
         if answer.verdict is Verdict.RAN and isinstance(answer.state, Done):
--- a/tests/test_cli_drain.py
+++ b/tests/test_cli_drain.py
@@ -6,7 +6,10 @@
 
 from bergamotthread.cli.drain import drain
 from bergamotthread.clock import Clock
-from bergamotthread.process.drain.drain_report import KEY_PREFIX, DrainReport
+from bergamotthread.process.drain.drain_report import (
+    REPORT_KEY_PREFIX,
+    DrainReport,
+)
 from bergamotthread.process.drain.drain_state import DrainPhase
 from bergamotthread.process.store.platform import Row
 from bergamotthread.testing.memory_platform import (
@@ -92,7 +95,7 @@
 @pytest.mark.parametrize('phase', [DrainPhase.DRAINED, DrainPhase.DRAINING])
 def test_status(context: _Context, phase: DrainPhase) -> None:
     report = DrainReport('a1', 1, phase, (), NOW_MS)
-    key = f'{KEY_PREFIX}a1'
+    key = f'{REPORT_KEY_PREFIX}a1'
     context.platform.rows_by_key[key] = Row(key, msgspec.json.encode(report), 1)
     shown = _invoke(context, 'status')
     drained = phase is DrainPhase.DRAINED
--- a/tests/test_drain_path.py
+++ b/tests/test_drain_path.py
@@ -95,7 +95,7 @@
 ) -> None:
     objects = _stops(deployment, deployment.clock.calendar_ms())
     published = PublishedVersion.from_object_set(2, objects)
-    deployment.entries[0].generations.put_in_force(published)
+    deployment.entries[0].generations.apply_version(published)
 
 
 def _host_list(deployment: SmallDeployment, platform: MemoryPlatform) -> None:
--- a/tests/test_drain_report.py
+++ b/tests/test_drain_report.py
@@ -6,8 +6,8 @@
 
 from bergamotthread.clock import Clock
 from bergamotthread.process.drain.drain_report import (
-    FRESH_MS,
     REPORT_INTERVAL_MS,
+    REPORT_MAX_AGE_MS,
     DrainReport,
     DrainReporter,
     DrainVerdict,
@@ -47,7 +47,7 @@
     assert reasons == ('phase is draining', 'generations: 2')
     await reporter.report(DrainPhase.DRAINED, ())
     assert (await bench.verdict()).safe
-    await bench.clock.sleep_ms(FRESH_MS + 1)
+    await bench.clock.sleep_ms(REPORT_MAX_AGE_MS + 1)
     assert not (await bench.verdict()).safe
 
 
--- a/tests/test_entry_app.py
+++ b/tests/test_entry_app.py
@@ -122,7 +122,7 @@
         teams=_NoLimits(),
         explanations=explanations,
         metrics=metrics,
-        put_in_force=generations.put_in_force,
+        put_in_force=generations.apply_version,
     )
     app = EntryApp(parts, recorder, clock)
     limited = BodyLimit(
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -13,8 +13,8 @@
     Quarantined,
     Suspect,
     Undecided,
-    fingerprint,
     quarantine_refusal,
+    request_fingerprint,
 )
 from bergamotthread.process.generations.quarantine_store import (
     QuarantinePublisher,
@@ -61,9 +61,9 @@
     ],
 )
 def test_fingerprint_covers_team_pin_and_prompt(other) -> None:
-    reference = fingerprint('team', Pin('m', '1'), 'text')
-    assert reference == fingerprint('team', Pin('m', '1'), 'text') != 0
-    assert fingerprint(*other) != reference
+    reference = request_fingerprint('team', Pin('m', '1'), 'text')
+    assert reference == request_fingerprint('team', Pin('m', '1'), 'text') != 0
+    assert request_fingerprint(*other) != reference
 
 
 def test_request_is_quarantined_once_after_the_maximum_of_deaths() -> None:
@@ -93,11 +93,11 @@
     _die(guard, time, 0, beside=(innocent,))
     assert guard.check(innocent) == Suspect(1)
     guard.record_start('agent1', 'g7', innocent)
-    assert guard.avoided_agents(_POISON) == {'agent1'}
-    assert guard.avoided_agents(innocent) == frozenset()
+    assert guard.agents_with_other_suspects(_POISON) == {'agent1'}
+    assert guard.agents_with_other_suspects(innocent) == frozenset()
     guard.record_progress('agent1', 'g7', 16)
     assert guard.check(innocent) == Clear()
-    assert guard.avoided_agents(_POISON) == frozenset()
+    assert guard.agents_with_other_suspects(_POISON) == frozenset()
     for index in (2, 3):
         _die(guard, time, index)
     assert isinstance(guard.check(_POISON), Quarantined)
@@ -137,7 +137,7 @@
     _lose(guard, time, 4)
     assert guard.check(_POISON) == Clear()
     guard.record_start('agent9', 'g', _POISON)
-    assert guard.avoided_agents(7) == frozenset()
+    assert guard.agents_with_other_suspects(7) == frozenset()
 
 
 def test_few_simultaneous_losses_across_domains_make_a_suspect() -> None:
@@ -292,16 +292,24 @@
     guard = _guard(time)
     guard.record_start('agent0', 'g', _POISON)
     guard.record_death('agent0', 'd0')
-    assert guard.take_charges() == (Quarantine(_POISON, 1, confirmed=False),)
-    assert guard.take_charges() == ()
+    assert guard.pop_changed_charges() == (
+        Quarantine(_POISON, 1, confirmed=False),
+    )
+    assert guard.pop_changed_charges() == ()
     time.advance_ms(2000)
     guard.record_death('agent1', 'd0')
-    assert guard.take_charges() == (Quarantine(_POISON, 0, confirmed=False),)
+    assert guard.pop_changed_charges() == (
+        Quarantine(_POISON, 0, confirmed=False),
+    )
     _die(guard, time, 2)
-    assert guard.take_charges() == (Quarantine(_POISON, 1, confirmed=False),)
+    assert guard.pop_changed_charges() == (
+        Quarantine(_POISON, 1, confirmed=False),
+    )
     guard.record_start('agent3', 'g', _POISON)
     guard.record_progress('agent3', 'g', 16)
-    assert guard.take_charges() == (Quarantine(_POISON, 0, confirmed=False),)
+    assert guard.pop_changed_charges() == (
+        Quarantine(_POISON, 0, confirmed=False),
+    )
 
 
 class _Audit:
