--- a/benchmarks/ack_traffic.py
+++ b/benchmarks/ack_traffic.py
@@ -50,7 +50,7 @@
 
 async def _read(live: LiveGeneration) -> None:
     while True:
-        live.consumed = live.generation.offset
+        live.consumed_tokens = live.generation.offset
         await live.wait_change()
 
 
--- a/benchmarks/resume_policy.py
+++ b/benchmarks/resume_policy.py
@@ -260,7 +260,7 @@
         generation = live.generation
         noted = False
         while not generation.is_over:
-            live.consumed = generation.offset
+            live.consumed_tokens = generation.offset
             await live.wait_change()
             if not noted and self._went_on(live, held):
                 noted = True
@@ -271,8 +271,8 @@
     def _went_on(self, live: LiveGeneration, held: int) -> bool:
         if held:
             return live.generation.offset > held
-        is_resumed = live.attempts > 1 and live.resumed_at > 0
-        return is_resumed and live.generation.offset > live.resumed_at
+        is_resumed = live.attempts > 1 and live.resumed_offset > 0
+        return is_resumed and live.generation.offset > live.resumed_offset
 
     def _strike(self) -> None:
         self._fault_ms = self._deployment.clock.now_ms()
@@ -310,7 +310,7 @@
         while True:
             await self._deployment.clock.sleep_ms(SAMPLE_MS)
             held = sum(
-                live.warmed_at
+                live.warmed_offset
                 for live in self._lives
                 if live.standby and not live.generation.is_over
             )
--- a/benchmarks/test_publication_time.py
+++ b/benchmarks/test_publication_time.py
@@ -57,5 +57,5 @@
 
 
 def _adopt(state: VersionState, publication: Publication) -> int:
-    after = state.follow(publication)
+    after = state.apply(publication)
     return PublishedVersion.from_object_set(2, after.object_set).version
--- a/benchmarks/version_size.py
+++ b/benchmarks/version_size.py
@@ -116,7 +116,7 @@
     decode_ms, _ = processor_ms(
         lambda: msgspec.json.decode(encoded, type=Snapshot)
     )
-    follow_ms, after = processor_ms(lambda: state.follow(publication))
+    follow_ms, after = processor_ms(lambda: state.apply(publication))
     index_ms, _ = processor_ms(
         lambda: PublishedVersion.from_object_set(2, after.object_set)
     )
--- a/bergamotthread/cli/publish.py
+++ b/bergamotthread/cli/publish.py
@@ -38,7 +38,7 @@
 )
 from bergamotthread.version.publication_write import PublicationUnknownError
 from bergamotthread.version.record import VersionState
-from bergamotthread.version.registration import forget_holders, read_holders
+from bergamotthread.version.registration import delete_holders, read_holders
 from bergamotthread.version.schema import object_set_schema
 
 EXIT_CODE_FAILED = 1
@@ -359,7 +359,7 @@
     newest = await _publisher(context).newest()
     known = newest.state.object_set
     who = find_operator(known, credential or context.credential).name
-    count = await forget_holders(context.table(), address)
+    count = await delete_holders(context.table(), address)
     trail = AuditTrail(context.object_store(), context.clock, f'cli-{who}')
     detail = {'registrations': str(count)}
     await trail.append('forget_host', address, detail, who)
--- a/bergamotthread/platform/manifest.py
+++ b/bergamotthread/platform/manifest.py
@@ -107,10 +107,10 @@
         services=splits or (WeightedService(route.service),),
         repeatability=_repeatability(route),
         is_stream=route.route_type == _STREAM,
-        attempts_max=max(route.max_attempts, 1),
+        max_attempts=max(route.max_attempts, 1),
         timeout_ms=route.timeout_ms,
-        first_event_goal_ms=route.target_latency_ms,
-        gap_goal_ms=route.gap_target_ms,
+        first_event_target_ms=route.target_latency_ms,
+        gap_target_ms=route.gap_target_ms,
         priority=route.priority,
         needs_key=not route.auth_exempt,
     )
--- a/bergamotthread/process/calls/call_runner.py
+++ b/bergamotthread/process/calls/call_runner.py
@@ -15,7 +15,7 @@
 from bergamotthread.request.call_agents import CallAgents
 from bergamotthread.request.call_refusals import refuse_call
 from bergamotthread.request.call_request import (
-    KEY_CHARACTERS_MAX,
+    MAX_KEY_CHARACTERS,
     CallAnswer,
     CallRequest,
 )
@@ -108,7 +108,7 @@
     def on_agent_lost(self, agent: str) -> None:
         """Stop waiting for calls at an agent whose process has ended."""
         for call in self._call_by_task.values():
-            call.agents.lose(agent)
+            call.agents.on_agent_lost(agent)
 
     async def finish(self) -> None:
         """Wait until every row is settled."""
@@ -171,12 +171,12 @@
         )
 
     def _check_admission(self, request: CallRequest) -> None:
-        if not 1 <= len(request.key) <= KEY_CHARACTERS_MAX:
+        if not 1 <= len(request.key) <= MAX_KEY_CHARACTERS:
             raise refuse_call(
                 request,
                 ReasonCode.BAD_REQUEST,
                 'expected an Idempotency-Key of 1 to '
-                f'{KEY_CHARACTERS_MAX} characters, got {len(request.key)}',
+                f'{MAX_KEY_CHARACTERS} characters, got {len(request.key)}',
                 step=Step.CHECK,
                 ran=Ran.NOT_RUN,
                 retry_after_ms=0,
--- a/bergamotthread/process/calls/service_calls.py
+++ b/bergamotthread/process/calls/service_calls.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from bergamotthread.errors import Step
-from bergamotthread.request.call_request import CallRequest, rule_of
+from bergamotthread.request.call_request import CallRequest, find_rule
 from bergamotthread.request.refusal import (
     ReasonCode,
     RefusedError,
@@ -64,7 +64,7 @@
         upstream, or if a call that is not idempotent has no idempotency key.
     """
     service = _find_service(parts, published)
-    rule = rule_of(service, parts.method, parts.path)
+    rule = find_rule(service, parts.method, parts.path)
     agents = _agents_local_first(service, published, region)
     if not agents:
         raise _refusal_error(
--- a/bergamotthread/process/entry_app.py
+++ b/bergamotthread/process/entry_app.py
@@ -59,7 +59,7 @@
     def admit(self) -> PublishedVersion:
         """Return the version to decide by, or raise `RefusedError`."""
 
-    def may_admit(self) -> Refusal | None:
+    def admission_refusal(self) -> Refusal | None:
         """Return why no request may be admitted now, or None."""
 
 
@@ -132,7 +132,7 @@
         """Return whether the balancer may send requests."""
         if self.draining:
             return Readiness(('draining',))
-        refusal = self._parts.versions.may_admit()
+        refusal = self._parts.versions.admission_refusal()
         return Readiness(() if refusal is None else (refusal.detail,))
 
     async def complete(self, request: Request) -> Response:
@@ -292,7 +292,7 @@
 
 
 async def _collect(stream: CompletionStream, answers: list[bytes]) -> None:
-    answers.append(await stream.whole())
+    answers.append(await stream.complete_answer())
 
 
 def _with_request(refusal: Refusal, request: Request) -> Refusal:
--- a/bergamotthread/process/explanations/trace_replay.py
+++ b/bergamotthread/process/explanations/trace_replay.py
@@ -100,7 +100,7 @@
             case AttemptRecord():
                 _begin(live, record)
             case ConfirmedRecord(incarnation=incarnation):
-                live.generation.pin_incarnation(incarnation)
+                live.generation.bind_incarnation(incarnation)
                 if record.dispatched:
                     live.admit()
             case FrameRecord():
@@ -117,10 +117,10 @@
 
 def _begin(live: LiveGeneration, record: AttemptRecord) -> None:
     live.attempts += 1
-    live.confirmed = False
-    live.admitted = False
+    live.is_confirmed = False
+    live.is_admitted = False
     if record.adopted:
-        live.was_admitted = True
+        live.was_ever_admitted = True
         live.generation.adopt_attempt(record.agent, record.attempt)
         return
     place = live.generation.begin_attempt(record.agent)
@@ -154,7 +154,7 @@
         return
     if record.outcome == 'rejected':
         live.attempts -= 1
-    elif not live.admitted:
+    elif not live.is_admitted:
         place = generation.place
         live.unconfirmed.add(AttemptPlace(place.number, place.agent))
     generation.interrupt()
--- a/bergamotthread/process/generations/attempt_runner.py
+++ b/bergamotthread/process/generations/attempt_runner.py
@@ -87,7 +87,7 @@
         async with aclosing(outputs) as stream:  # type: ignore[type-var]
             async for output in stream:
                 self._record_output(buffer, output)
-                while buffer.unacknowledged > self._window_tokens:
+                while buffer.unacknowledged_tokens > self._window_tokens:
                     await self._clock.sleep_ms(WINDOW_POLL_MS)
 
     def _record_output(
--- a/bergamotthread/process/generations/attempts.py
+++ b/bergamotthread/process/generations/attempts.py
@@ -109,6 +109,6 @@
     def _is_evictable(self, buffer: OutputBuffer, now_ms: float) -> bool:
         if now_ms - buffer.heard_ms > self._retention_ms:
             return True
-        if buffer.end is None or buffer.unacknowledged:
+        if buffer.end is None or buffer.unacknowledged_tokens:
             return False
         return now_ms - buffer.ended_ms > DELIVERED_RETENTION_MS
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -96,7 +96,7 @@
                 break
             outcome = await self._run_attempt(live, chosen)
             self._handle_outcome(live, outcome)
-        live.notify()
+        live.notify_readers()
 
     async def adopt(
         self,
@@ -109,7 +109,7 @@
         Fetches the output of its running attempt, then drives the generation
         on from there.
         """
-        live.was_admitted = True
+        live.was_ever_admitted = True
         generation = live.generation
         pending = live.expect_outcome(self._clock.now_ms())
         live.is_adopted = True
@@ -128,7 +128,7 @@
         """Cancel an attempt, or revoke it if the agent has not admitted it."""
         generation_id = live.generation.spec.generation
         message: Cancel | Revoke = Cancel(generation_id, place.number)
-        if not live.admitted:
+        if not live.is_admitted:
             message = Revoke(generation_id, place.number)
         self._transport.send(place.agent, message)
 
@@ -275,12 +275,12 @@
                 'peer': place.agent,
             },
         )
-        if not live.admitted:
+        if not live.is_admitted:
             unpinned = AttemptPlace(place.number, place.agent)
             live.unconfirmed.add(unpinned)
         self.send_cancel(live, place)
         domain = self._placement.failure_domain(place.agent)
-        if lost.is_silence and live.admitted:
+        if lost.is_silence and live.is_admitted:
             self._guards.agent_suspected(live, place.agent, domain)
         else:
             if lost.upstream_died:
--- a/bergamotthread/process/generations/generation_guards.py
+++ b/bergamotthread/process/generations/generation_guards.py
@@ -158,7 +158,7 @@
 
     def attempt_progressed(self, live: LiveGeneration, agent: str) -> None:
         """Record that the current attempt has produced tokens."""
-        produced = live.generation.offset - live.resumed_at
+        produced = live.generation.offset - live.resumed_offset
         generation_id = live.generation.spec.generation
         self.poison.record_progress(agent, generation_id, produced)
 
--- a/bergamotthread/process/generations/generation_watch.py
+++ b/bergamotthread/process/generations/generation_watch.py
@@ -66,11 +66,11 @@
             return self._adoption_loss(live, now_ms)
         if self._peers.is_suspected(place.agent):
             return Lost('agent silent', is_silence=True)
-        if not live.confirmed:
+        if not live.is_confirmed:
             return self._unconfirmed_loss(live, now_ms)
-        if live.backlog > BACKLOG_MAX_TOKENS:
-            live.progress.restart(now_ms)
-        elif live.admitted and live.progress.is_suspected(now_ms):
+        if live.backlog_tokens > BACKLOG_MAX_TOKENS:
+            live.silence_detector.restart(now_ms)
+        elif live.is_admitted and live.silence_detector.is_suspected(now_ms):
             return self._stalled_loss(live, now_ms)
         return None
 
@@ -85,7 +85,7 @@
         """Return whether a generation is over and past its retention."""
         if live.readers or not live.generation.is_over:
             return False
-        is_delivered = live.backlog == 0
+        is_delivered = live.backlog_tokens == 0
         retention_ms = (
             DELIVERED_RETENTION_MS if is_delivered else UNDELIVERED_RETENTION_MS
         )
@@ -119,8 +119,8 @@
         live: LiveGeneration,
         now_ms: float,
     ) -> Lost | None:
-        silent_ms = now_ms - live.progress.heard_ms
-        if live.produced or silent_ms > self._first_token_timeout_ms(live):
+        silent_ms = now_ms - live.silence_detector.heard_ms
+        if live.has_output or silent_ms > self._first_token_timeout_ms(live):
             return Lost('engine stalled')
         return None
 
--- a/bergamotthread/process/generations/generations.py
+++ b/bergamotthread/process/generations/generations.py
@@ -29,7 +29,7 @@
 from bergamotthread.process.routing.standby import Standbys
 from bergamotthread.request.generation import (
     AttemptPlace,
-    Verdict,
+    FrameVerdict,
 )
 from bergamotthread.request.generation_refusal import internal_refusal
 from bergamotthread.request.live_generation import (
@@ -143,7 +143,7 @@
             self.guards.attempt_ended(live, place.agent)
         if live.task is not None:
             live.task.cancel()
-        live.notify()
+        live.notify_readers()
 
     def on_message(self, envelope: Envelope) -> None:
         """Handle a message from an agent."""
@@ -159,18 +159,18 @@
                 if live is not None:
                     self._record_admission(live)
                     self._trace.confirmed(live)
-                    live.progress.restart(self._clock.now_ms())
+                    live.silence_detector.restart(self._clock.now_ms())
             case Waiting(generation=generation, attempt=attempt):
                 live = self._find_current(generation, attempt, envelope)
                 if live is not None:
-                    live.confirmed = True
+                    live.is_confirmed = True
                     self._trace.confirmed(live, dispatched=False)
             case Declined() as declined:
                 self._on_declined(declined, envelope)
             case Missing(generation=generation, attempt=attempt):
                 live = self._find_current(generation, attempt, envelope)
                 if live is not None:
-                    live.settle(Lost('output not held by agent'))
+                    live.set_outcome(Lost('output not held by agent'))
             case Revoked() as revoked:
                 self._on_revoked(revoked, envelope.sender)
 
@@ -188,7 +188,7 @@
                 lost = self._watch.find_loss(live, now_ms)
                 if lost is not None:
                     self._placement.record_loss(live.generation.place.agent)
-                    live.settle(lost)
+                    live.set_outcome(lost)
 
     def _run(
         self,
@@ -215,14 +215,14 @@
                 error,
             )
             live.generation.abort(internal_refusal(live, error))
-            live.notify()
+            live.notify_readers()
         self._trace.end(live)
 
     def _settle_replaced(self, peer: str, incarnation: int) -> None:
         for live in self.by_id.values():
             place = live.generation.place
             if place.agent == peer and 0 < place.incarnation < incarnation:
-                live.settle(Lost('agent was replaced', upstream_died=True))
+                live.set_outcome(Lost('agent was replaced', upstream_died=True))
 
     def _on_revoked(self, revoked: Revoked, agent: str) -> None:
         live = self.by_id.get(revoked.generation)
@@ -245,7 +245,7 @@
             envelope.incarnation,
             attempt,
         ):
-            live.generation.pin_incarnation(envelope.incarnation)
+            live.generation.bind_incarnation(envelope.incarnation)
             return live
         return None
 
@@ -272,14 +272,14 @@
             envelope.incarnation,
         )
         match verdict:
-            case Verdict.ACCEPTED:
+            case FrameVerdict.ACCEPTED:
                 self._on_progress(live, frame)
-            case Verdict.STALE:
+            case FrameVerdict.STALE:
                 self._cancel_stale(frame, envelope.sender)
-            case Verdict.GAP:
+            case FrameVerdict.GAP:
                 self._fetch(live)
-            case Verdict.CORRUPT:
-                live.settle(Lost('end mark contradicts the output'))
+            case FrameVerdict.CORRUPT:
+                live.set_outcome(Lost('end mark contradicts the output'))
 
     def _on_progress(self, live: LiveGeneration, frame: Frame) -> None:
         self._record_admission(live)
@@ -288,24 +288,24 @@
             self.guards.attempt_progressed(live, live.generation.place.agent)
             self.standbys.progressed(live)
         if live.generation.is_over:
-            live.settle(Finished())
+            live.set_outcome(Finished())
         elif frame.end is not None:
-            live.settle(outcome_of(frame.end.reason))
-        live.notify()
+            live.set_outcome(outcome_of(frame.end.reason))
+        live.notify_readers()
 
     def _record_admission(self, live: LiveGeneration) -> None:
-        if not live.admitted:
+        if not live.is_admitted:
             live.admit()
             self.guards.attempt_started(live, live.generation.place.agent)
 
     def _record_tokens(self, live: LiveGeneration, count: int) -> None:
         now_ms = self._clock.now_ms()
         self._metrics.tokens(count)
-        if live.produced:
-            live.progress.record(now_ms)
+        if live.has_output:
+            live.silence_detector.record(now_ms)
             return
-        live.progress.restart(now_ms)
-        live.produced = True
+        live.silence_detector.restart(now_ms)
+        live.has_output = True
         if live.interrupted_ms:
             self._metrics.resumed(now_ms - live.interrupted_ms)
         else:
@@ -316,7 +316,7 @@
             declined.generation, declined.attempt, envelope
         )
         if live is not None:
-            live.settle(Rejected(declined.reason, declined.retry_after_ms))
+            live.set_outcome(Rejected(declined.reason, declined.retry_after_ms))
 
     def _cancel_stale(self, frame: Frame, agent: str) -> None:
         live = self.by_id.get(frame.generation)
@@ -351,7 +351,7 @@
             now_ms = self._clock.now_ms()
             for generation_id, live in tuple(self.by_id.items()):
                 if self._watch.is_releasable(live, now_ms):
-                    live.generation.forget()
+                    live.generation.detach()
                     self.by_id.pop(generation_id)
 
     async def _acknowledge_forever(self) -> None:
@@ -361,9 +361,9 @@
             now_ms = self._clock.now_ms()
             for generation_id, live in self._running_by_id.items():
                 place = live.generation.place
-                if live.admitted and place.agent and live.is_ack_due(now_ms):
-                    live.note_ack(now_ms)
-                    ack = Ack(generation_id, place.number, live.consumed)
+                if live.is_admitted and place.agent and live.is_ack_due(now_ms):
+                    live.record_ack(now_ms)
+                    ack = Ack(generation_id, place.number, live.consumed_tokens)
                     acks_by_agent[place.agent].append(ack)
             for agent, acks in acks_by_agent.items():
                 self._transport.send(
--- a/bergamotthread/process/routing/standby.py
+++ b/bergamotthread/process/routing/standby.py
@@ -45,12 +45,15 @@
         )
         if context_tokens < policy.standby_after_tokens:
             return
-        if not live.standby or context_tokens - live.warmed_at >= REWARM_TOKENS:
+        if (
+            not live.standby
+            or context_tokens - live.warmed_offset >= REWARM_TOKENS
+        ):
             self._warm(live, context_tokens)
 
     def _warm(self, live: LiveGeneration, context_tokens: int) -> None:
         current = live.generation.place.agent
-        live.warmed_at = context_tokens
+        live.warmed_offset = context_tokens
         request = replace(
             live.placement_request,
             accepted_tokens=live.generation.offset,
--- a/bergamotthread/request/authentication.py
+++ b/bergamotthread/request/authentication.py
@@ -54,7 +54,7 @@
     """
     digest = _digest(authorization, published)
     for operator in published.object_set.operators:
-        if _holds(operator, digest):
+        if _has_credential(operator, digest):
             return operator
     if digest in published.teams_by_credential_hash:
         detail = 'the credential belongs to a team, expected an operator'
@@ -63,7 +63,7 @@
     raise _refused(ReasonCode.UNAUTHENTICATED, detail, published)
 
 
-def _holds(operator: Operator, digest: str) -> bool:
+def _has_credential(operator: Operator, digest: str) -> bool:
     matches = [
         hmac.compare_digest(digest, credential_hash)
         for credential_hash in operator.credential_hashes
--- a/bergamotthread/request/call_agents.py
+++ b/bergamotthread/request/call_agents.py
@@ -17,11 +17,11 @@
 )
 from bergamotthread.request.call_actions import Ask, Send
 from bergamotthread.request.call_events import (
-    Chosen,
+    AgentChosen,
     Event,
     GaveUp,
     NeverSent,
-    NoneChosen,
+    NoAgentChosen,
     NoOutcome,
     Replied,
 )
@@ -67,15 +67,15 @@
     bodies: HeldBodies
     declined: list[str] = field(default_factory=list)
     retry_after_ms: int = 0
-    _awaited: dict[Sending, Mailbox] = field(default_factory=dict)
+    _mailbox_by_sending: dict[Sending, Mailbox] = field(default_factory=dict)
 
-    async def choose(self) -> Chosen | NoneChosen:
+    async def choose(self) -> AgentChosen | NoAgentChosen:
         """Return the first agent that issues a ticket."""
         for agent in self.request.agents:
-            chosen = await self._offer(agent)
+            chosen = await self._request_ticket(agent)
             if chosen is not None:
                 return chosen
-        return NoneChosen()
+        return NoAgentChosen()
 
     async def send(self, action: Send, remaining_ms: float) -> Event:
         """Send the call once and wait for its outcome.
@@ -84,18 +84,18 @@
         the caller's deadline, the ticket is revoked, which also asks the agent
         for the outcome.
         """
-        mailbox = self.await_outcome(action.sending)
-        self.transport.send(action.sending.agent, self._dispatch(action))
+        mailbox = self.open_mailbox(action.sending)
+        self.transport.send(action.sending.agent, self._build_dispatch(action))
         wait_ms = min(
             self.request.timeout_ms,
             max(0, remaining_ms - self.limits.outcome_timeout_ms),
         )
-        event = await self._outcome(mailbox, action.sending, wait_ms)
+        event = await self._wait_outcome(mailbox, action.sending, wait_ms)
         if event is not None:
             return event
         revoke = Revoke(action.sending.owner, action.sending.ticket)
         self.transport.send(action.sending.agent, revoke)
-        event = await self._outcome(
+        event = await self._wait_outcome(
             mailbox,
             action.sending,
             min(remaining_ms, self.limits.outcome_timeout_ms),
@@ -104,11 +104,11 @@
 
     async def ask(self, action: Ask) -> Event:
         """Ask an agent for the outcome of a call, at most twice."""
-        mailbox = self.await_outcome(action.sending)
+        mailbox = self.open_mailbox(action.sending)
         for _ in range(2):
             revoke = Revoke(action.sending.owner, action.sending.ticket)
             self.transport.send(action.sending.agent, revoke)
-            event = await self._outcome(
+            event = await self._wait_outcome(
                 mailbox,
                 action.sending,
                 self.limits.outcome_timeout_ms / 2,
@@ -117,24 +117,24 @@
                 return event
         return NoOutcome('no answer from the agent')
 
-    async def late_reply(self, wait_ms: float) -> Event | None:
+    async def wait_late_reply(self, wait_ms: float) -> Event | None:
         """Wait for a late answer to a call whose outcome is unknown."""
-        for sending, mailbox in self._awaited.items():
-            event = await self._outcome(mailbox, sending, wait_ms)
+        for sending, mailbox in self._mailbox_by_sending.items():
+            event = await self._wait_outcome(mailbox, sending, wait_ms)
             if isinstance(event, Replied):
                 return event
         return None
 
-    def await_outcome(self, sending: Sending) -> Mailbox:
+    def open_mailbox(self, sending: Sending) -> Mailbox:
         """Return the mailbox of a sending, open until `close`."""
-        if sending not in self._awaited:
+        if sending not in self._mailbox_by_sending:
             mailbox = self.mailboxes.open(sending.owner, sending.ticket)
-            self._awaited[sending] = mailbox
-        return self._awaited[sending]
+            self._mailbox_by_sending[sending] = mailbox
+        return self._mailbox_by_sending[sending]
 
-    def lose(self, agent: str) -> None:
+    def on_agent_lost(self, agent: str) -> None:
         """Report to waiting sendings that their agent's process has ended."""
-        for sending, mailbox in self._awaited.items():
+        for sending, mailbox in self._mailbox_by_sending.items():
             if sending.agent != agent:
                 continue
             reply = CallReply(
@@ -147,29 +147,31 @@
 
     def close(self) -> None:
         """Stop waiting for outcomes."""
-        for sending, mailbox in self._awaited.items():
+        for sending, mailbox in self._mailbox_by_sending.items():
             self.mailboxes.close(sending.owner, sending.ticket, mailbox)
-        self._awaited.clear()
+        self._mailbox_by_sending.clear()
 
-    async def _offer(self, agent: str) -> Chosen | None:
+    async def _request_ticket(self, agent: str) -> AgentChosen | None:
         with self.mailboxes.opened(self.owner, OFFER_TICKET) as mailbox:
             self.transport.send(agent, CallOffer(self.owner))
             try:
                 async with asyncio.timeout(
                     self.limits.offer_timeout_ms / _MS_PER_S
                 ):
-                    return await self._offered(agent, mailbox)
+                    return await self._wait_offer_reply(agent, mailbox)
             except TimeoutError:
                 self.declined.append(f'{agent}: no answer')
                 return None
 
-    async def _offered(self, agent: str, mailbox: Mailbox) -> Chosen | None:
+    async def _wait_offer_reply(
+        self, agent: str, mailbox: Mailbox
+    ) -> AgentChosen | None:
         envelope = await mailbox.get()
         while envelope.sender != agent:
             envelope = await mailbox.get()
         match envelope.message:
             case CallOfferReply(accepted=True, ticket=ticket):
-                return Chosen(
+                return AgentChosen(
                     Sending(self.owner, agent, envelope.incarnation, ticket),
                 )
             case CallOfferReply(reason=reason, retry_after_ms=retry_after_ms):
@@ -177,7 +179,7 @@
                 self.retry_after_ms = retry_after_ms
         return None
 
-    async def _outcome(
+    async def _wait_outcome(
         self,
         mailbox: Mailbox,
         sending: Sending,
@@ -192,17 +194,17 @@
 
     async def _next_outcome(self, mailbox: Mailbox, sending: Sending) -> Event:
         while True:
-            event = self._event_of(await mailbox.get(), sending)
+            event = self._to_event(await mailbox.get(), sending)
             if event is not None:
                 return event
 
-    def _event_of(self, envelope: Envelope, sending: Sending) -> Event | None:
+    def _to_event(self, envelope: Envelope, sending: Sending) -> Event | None:
         if envelope.sender != sending.agent:
             return None
         same_process = envelope.incarnation == sending.incarnation
         match envelope.message:
             case CallReply(outcome=CallStatus.DONE) as reply:
-                return Replied(self._done(reply, sending))
+                return Replied(self._build_done(reply, sending))
             case CallReply(outcome=CallStatus.NOT_DISPATCHED, reason=reason):
                 return NeverSent(reason) if same_process else None
             case CallReply(reason=reason):
@@ -213,11 +215,11 @@
                 return NoOutcome('agent replaced')
         return None
 
-    def _done(self, reply: CallReply, sending: Sending) -> Done:
+    def _build_done(self, reply: CallReply, sending: Sending) -> Done:
         done = Done(sending, reply.status, reply.headers)
         return keep_body(done, reply.body, self.limits, self.bodies)
 
-    def _dispatch(self, action: Send) -> CallDispatch:
+    def _build_dispatch(self, action: Send) -> CallDispatch:
         sending = action.sending
         return CallDispatch(
             sending.owner,
--- a/bergamotthread/request/call_events.py
+++ b/bergamotthread/request/call_events.py
@@ -25,18 +25,18 @@
     """The row that was read; `lapsed` if its lease has expired."""
 
     stored: Stored | None
-    lapsed: bool = False
+    is_lease_expired: bool = False
 
 
 @dataclass(frozen=True)
-class Chosen:
+class AgentChosen:
     """An agent issued a ticket."""
 
     sending: Sending
 
 
 @dataclass(frozen=True)
-class NoneChosen:
+class NoAgentChosen:
     """No agent accepts the call."""
 
 
@@ -69,15 +69,15 @@
     another request may hold the row.
     """
 
-    lapsed: bool = True
+    may_have_lost_lease: bool = True
 
 
 Event = (
     Written
     | NotWritten
     | Found
-    | Chosen
-    | NoneChosen
+    | AgentChosen
+    | NoAgentChosen
     | Replied
     | NeverSent
     | NoOutcome
--- a/bergamotthread/request/call_moves.py
+++ b/bergamotthread/request/call_moves.py
@@ -35,12 +35,12 @@
     State,
     Unknown,
     dispatch,
+    open_sending,
     reserve,
-    sending_of,
     settle,
 )
 
-Next = tuple[Progress, tuple[Action, ...]]
+Transition = tuple[Progress, tuple[Action, ...]]
 
 
 def confirm_pending(progress: Progress, revision: int) -> Stored:
@@ -50,7 +50,9 @@
     return Stored(progress.pending, revision)
 
 
-def reserve_row(progress: Progress, stored: Stored | None, now_ms: int) -> Next:
+def reserve_row(
+    progress: Progress, stored: Stored | None, now_ms: int
+) -> Transition:
     """Reserve a call that has no row, or whose row may be taken over."""
     row = stored.row if stored else None
     pending = reserve(row, progress.claim, now_ms)
@@ -63,13 +65,13 @@
     return reserving, (Write(pending, stored.revision if stored else 0),)
 
 
-def choose(progress: Progress, stored: Stored) -> Next:
+def choose_agent(progress: Progress, stored: Stored) -> Transition:
     """Choose an agent for a call whose row is reserved."""
     choosing = replace(progress, phase=Phase.CHOOSING, known=stored)
     return choosing, (Choose(),)
 
 
-def consider(progress: Progress, found: Found, now_ms: int) -> Next:
+def handle_row(progress: Progress, found: Found, now_ms: int) -> Transition:
     """Handle a row that was read and that another request may hold."""
     stored = found.stored
     if stored is None:
@@ -77,20 +79,22 @@
     if stored.row.fingerprint != progress.claim.fingerprint:
         return give_answer(progress, Verdict.KEY_REUSED, stored.row.state)
     if is_pending(progress, stored):
-        return choose(progress, stored)
+        return choose_agent(progress, stored)
     seen = replace(progress, known=stored)
     match stored.row.state:
-        case Reserved() if not found.lapsed:
+        case Reserved() if not found.is_lease_expired:
             return replace(seen, phase=Phase.POLLING), (Poll(),)
         case Reserved() | Refused():
             return reserve_row(seen, stored, now_ms)
-    return _consider_sent(seen, stored, found.lapsed)
+    return _handle_sent_row(seen, stored, found.is_lease_expired)
 
 
-def _consider_sent(progress: Progress, stored: Stored, lapsed: bool) -> Next:
+def _handle_sent_row(
+    progress: Progress, stored: Stored, is_lease_expired: bool
+) -> Transition:
     row_state = stored.row.state
     match row_state:
-        case Dispatched() if not lapsed:
+        case Dispatched() if not is_lease_expired:
             return replace(progress, phase=Phase.POLLING), (Poll(),)
         case Dispatched(sending=sending) | Unknown(sending=sending):
             return replace(progress, phase=Phase.ASKING), (Ask(sending),)
@@ -105,9 +109,11 @@
     return pending is not None and pending.write_id == stored.row.write_id
 
 
-def dispatch_row(progress: Progress, sending: Sending, now_ms: int) -> Next:
+def dispatch_row(
+    progress: Progress, sending: Sending, now_ms: int
+) -> Transition:
     """Write the reserved row as dispatched."""
-    known = progress.known
+    known = progress.last_stored
     if known is None:
         raise AssertionError('a call is dispatched without a reserved row')
     pending = dispatch(known.row, progress.claim, sending, now_ms)
@@ -119,21 +125,23 @@
     return dispatching, (Write(pending, known.revision),)
 
 
-def verify(progress: Progress, found: Found, now_ms: int) -> Next:
+def verify_dispatched(
+    progress: Progress, found: Found, now_ms: int
+) -> Transition:
     """Send the call only if the row read was dispatched by this request."""
     stored = found.stored
-    known = progress.known
+    known = progress.last_stored
     if stored is not None and is_pending(progress, stored):
         return send_call(progress, stored)
     if known is None or progress.pending is None or stored != known:
-        return consider(replace(progress, pending=None), found, now_ms)
+        return handle_row(replace(progress, pending=None), found, now_ms)
     dispatching = replace(progress, phase=Phase.DISPATCHING)
     return dispatching, (Write(progress.pending, known.revision),)
 
 
-def send_call(progress: Progress, stored: Stored) -> Next:
+def send_call(progress: Progress, stored: Stored) -> Transition:
     """Send the call of a row that is dispatched by this request."""
-    sending = sending_of(stored.row)
+    sending = open_sending(stored.row)
     if sending is None:
         raise AssertionError('a call is sent without its dispatched row')
     waiting = replace(progress, phase=Phase.WAITING, known=stored)
@@ -143,24 +151,24 @@
 def finish(
     progress: Progress,
     verdict: Verdict,
-    goal: State,
+    target_state: State,
     now_ms: int,
-) -> Next:
+) -> Transition:
     """Answer the caller and move the row to the state `goal`."""
     settling, actions = settle_row(
-        replace(progress, goal=goal, answered=True),
-        progress.known,
+        replace(progress, goal=target_state, answered=True),
+        progress.last_stored,
         now_ms,
     )
     if progress.answered:
         return settling, actions
-    return settling, (Answer(verdict, goal), *actions)
+    return settling, (Answer(verdict, target_state), *actions)
 
 
-def lose(progress: Progress, reason: str, now_ms: int) -> Next:
+def record_unknown(progress: Progress, reason: str, now_ms: int) -> Transition:
     """Answer that the outcome is unknown, and record it in the row."""
-    known = progress.known
-    sending = sending_of(known.row) if known else None
+    known = progress.last_stored
+    sending = open_sending(known.row) if known else None
     if sending is None:
         return give_answer(progress, Verdict.UNKNOWN, None)
     return finish(
@@ -171,10 +179,12 @@
     )
 
 
-def recover(progress: Progress, event: Event, now_ms: int) -> Next:
+def handle_agent_reply(
+    progress: Progress, event: Event, now_ms: int
+) -> Transition:
     """Handle an agent's reply about another request's sending."""
-    known = progress.known
-    sending = sending_of(known.row) if known else None
+    known = progress.last_stored
+    sending = open_sending(known.row) if known else None
     if known is None or sending is None:
         raise AssertionError('an outcome arrived for a row without a sending')
     match event:
@@ -186,17 +196,19 @@
             if cleared is not None:
                 clearing = replace(progress, phase=Phase.CLEARING)
                 return clearing, (Write(cleared, known.revision),)
-    return lose(progress, 'no outcome from the agent', now_ms)
+    return record_unknown(progress, 'no outcome from the agent', now_ms)
 
 
-def settle_row(progress: Progress, stored: Stored | None, now_ms: int) -> Next:
+def settle_row(
+    progress: Progress, stored: Stored | None, now_ms: int
+) -> Transition:
     """Write the row in the state `goal`, if that is still allowed."""
-    goal = progress.goal
+    target_state = progress.target_state
     row = None
-    if stored is not None and goal is not None:
-        row = settle(stored.row, goal, progress.claim.owner, now_ms)
+    if stored is not None and target_state is not None:
+        row = settle(stored.row, target_state, progress.claim.owner, now_ms)
     if stored is None or row is None:
-        return rest(progress, stored), ()
+        return park_or_end(progress, stored), ()
     settling = replace(
         progress,
         phase=Phase.SETTLING,
@@ -206,16 +218,16 @@
     return settling, (Write(row, stored.revision),)
 
 
-def rest(progress: Progress, stored: Stored | None) -> Progress:
+def park_or_end(progress: Progress, stored: Stored | None) -> Progress:
     """Wait for a late answer if the outcome is unknown, otherwise end."""
-    is_open = isinstance(progress.goal, Unknown)
+    is_open = isinstance(progress.target_state, Unknown)
     phase = Phase.PARKED if is_open else Phase.ENDED
     return replace(progress, phase=phase, known=stored)
 
 
-def release(progress: Progress, reason: str, now_ms: int) -> Next:
+def release(progress: Progress, reason: str, now_ms: int) -> Transition:
     """Write the row as refused; once confirmed, refuse the request."""
-    known = progress.known
+    known = progress.last_stored
     goal = Refused(progress.claim.owner, reason)
     row = settle(known.row, goal, goal.owner, now_ms) if known else None
     if known is None or row is None:
@@ -225,7 +237,7 @@
     return write_release(replace(progress, goal=goal, pending=row), known)
 
 
-def write_release(progress: Progress, stored: Stored) -> Next:
+def write_release(progress: Progress, stored: Stored) -> Transition:
     """Write the pending refused row over the one that this request holds."""
     if progress.pending is None:
         raise AssertionError('a row is released but no row is pending')
@@ -233,31 +245,33 @@
     return releasing, (Write(progress.pending, stored.revision),)
 
 
-def give_up(progress: Progress, lapsed: bool, now_ms: int) -> Next:
+def give_up(
+    progress: Progress, may_have_lost_lease: bool, now_ms: int
+) -> Transition:
     """Answer at once, with what is certain in the current phase."""
     match progress.phase:
         case Phase.CHOOSING | Phase.DISPATCHING | Phase.VERIFYING:
-            return _withdraw(progress, lapsed)
+            return _withdraw(progress, may_have_lost_lease)
         case Phase.RELEASING | Phase.CONFIRMING:
-            return _withdraw(progress, lapsed)
+            return _withdraw(progress, may_have_lost_lease)
         case Phase.WAITING:
-            return lose(progress, 'no answer in time', now_ms)
+            return record_unknown(progress, 'no answer in time', now_ms)
         case Phase.ASKING:
             return give_answer(progress, Verdict.UNKNOWN, None)
         case Phase.POLLING:
             return give_answer(progress, Verdict.IN_PROGRESS, None)
         case Phase.RESERVING | Phase.LOOKING | Phase.CLEARING:
-            return give_answer(progress, _verdict_unread(progress), None)
+            return give_answer(progress, _verdict_without_row(progress), None)
     return replace(progress, phase=Phase.ENDED), ()
 
 
-def _withdraw(progress: Progress, lapsed: bool) -> Next:
+def _withdraw(progress: Progress, may_have_lost_lease: bool) -> Transition:
     """Answer at once, and refuse the row once the table answers again.
 
     No other request moves the row before the lease expires, so until then
     the call certainly did not run; later, another request may have run it.
     """
-    verdict = Verdict.UNCERTAIN if lapsed else Verdict.NOT_RUN
+    verdict = Verdict.UNCERTAIN if may_have_lost_lease else Verdict.NOT_RUN
     goal = Refused(progress.claim.owner, 'withdrawn before sending')
     checking = replace(
         progress,
@@ -268,8 +282,8 @@
     return checking, (Answer(verdict, goal), Read())
 
 
-def _verdict_unread(progress: Progress) -> Verdict:
-    if progress.claim.first_send and progress.known is None:
+def _verdict_without_row(progress: Progress) -> Verdict:
+    if progress.claim.first_send and progress.last_stored is None:
         return Verdict.NOT_RUN
     return Verdict.UNCERTAIN
 
@@ -278,7 +292,7 @@
     progress: Progress,
     verdict: Verdict,
     row_state: State | None,
-) -> Next:
+) -> Transition:
     """Give the final answer and end."""
     ended = replace(progress, phase=Phase.ENDED, answered=True)
     if progress.answered:
--- a/bergamotthread/request/call_progress.py
+++ b/bergamotthread/request/call_progress.py
@@ -58,7 +58,7 @@
 
     claim: Claim
     phase: Phase
-    known: Stored | None = None
+    last_stored: Stored | None = None
     pending: CallRow | None = None
-    goal: State | None = None
+    target_state: State | None = None
     answered: bool = False
--- a/bergamotthread/request/call_protocol.py
+++ b/bergamotthread/request/call_protocol.py
@@ -15,35 +15,35 @@
     Verdict,
 )
 from bergamotthread.request.call_events import (
-    Chosen,
+    AgentChosen,
     Event,
     Found,
     GaveUp,
     NeverSent,
-    NoneChosen,
+    NoAgentChosen,
     NoOutcome,
     NotWritten,
     Replied,
     Written,
 )
 from bergamotthread.request.call_moves import (
-    Next,
-    choose,
+    Transition,
+    choose_agent,
     confirm_pending,
-    consider,
     dispatch_row,
     finish,
     give_answer,
     give_up,
+    handle_agent_reply,
+    handle_row,
     is_pending,
-    lose,
-    recover,
+    park_or_end,
+    record_unknown,
     release,
     reserve_row,
-    rest,
     send_call,
     settle_row,
-    verify,
+    verify_dispatched,
     write_release,
 )
 from bergamotthread.request.call_progress import Phase, Progress
@@ -52,12 +52,12 @@
 )
 
 
-def begin(claim: Claim, now_ms: int) -> Next:
+def begin(claim: Claim, now_ms: int) -> Transition:
     """Return the initial progress of a request and its first write."""
     return reserve_row(Progress(claim, Phase.RESERVING), None, now_ms)
 
 
-def advance(progress: Progress, event: Event, now_ms: int) -> Next:
+def advance(progress: Progress, event: Event, now_ms: int) -> Transition:
     """Return the next progress and actions after an event.
 
     Parameters
@@ -72,7 +72,7 @@
     if progress.phase is Phase.ENDED:
         return progress, ()
     if isinstance(event, GaveUp):
-        return give_up(progress, event.lapsed, now_ms)
+        return give_up(progress, event.may_have_lost_lease, now_ms)
     match progress.phase:
         case Phase.RESERVING | Phase.LOOKING | Phase.POLLING | Phase.CHOOSING:
             return _advance_reserving(progress, event, now_ms)
@@ -83,60 +83,72 @@
     return _advance_settling(progress, event, now_ms)
 
 
-def _advance_reserving(progress: Progress, event: Event, now_ms: int) -> Next:
+def _advance_reserving(
+    progress: Progress, event: Event, now_ms: int
+) -> Transition:
     match (progress.phase, event):
         case (Phase.RESERVING, Written(revision=revision)):
-            return choose(progress, confirm_pending(progress, revision))
+            return choose_agent(progress, confirm_pending(progress, revision))
         case (Phase.RESERVING, NotWritten()):
             return replace(progress, phase=Phase.LOOKING), (Read(),)
         case (Phase.LOOKING | Phase.POLLING, Found()):
-            return consider(progress, event, now_ms)
-        case (Phase.CHOOSING, Chosen(sending=sending)):
+            return handle_row(progress, event, now_ms)
+        case (Phase.CHOOSING, AgentChosen(sending=sending)):
             return dispatch_row(progress, sending, now_ms)
-        case (Phase.CHOOSING, NoneChosen()):
+        case (Phase.CHOOSING, NoAgentChosen()):
             return release(progress, 'no agent takes the call', now_ms)
     return progress, ()
 
 
-def _advance_sending(progress: Progress, event: Event, now_ms: int) -> Next:
+def _advance_sending(
+    progress: Progress, event: Event, now_ms: int
+) -> Transition:
     match (progress.phase, event):
         case (Phase.DISPATCHING, Written(revision=revision)):
             return send_call(progress, confirm_pending(progress, revision))
         case (Phase.DISPATCHING, NotWritten()):
             return replace(progress, phase=Phase.VERIFYING), (Read(),)
         case (Phase.VERIFYING, Found()):
-            return verify(progress, event, now_ms)
+            return verify_dispatched(progress, event, now_ms)
         case (Phase.WAITING, Replied(done=done)):
             return finish(progress, Verdict.RAN, done, now_ms)
         case (Phase.WAITING, NeverSent(reason=reason)):
             return release(progress, reason, now_ms)
         case (Phase.WAITING, NoOutcome(reason=reason)):
-            return lose(progress, reason, now_ms)
+            return record_unknown(progress, reason, now_ms)
     return progress, ()
 
 
-def _advance_releasing(progress: Progress, event: Event, now_ms: int) -> Next:
+def _advance_releasing(
+    progress: Progress, event: Event, now_ms: int
+) -> Transition:
     match (progress.phase, event):
         case (Phase.RELEASING, Written()):
-            return give_answer(progress, Verdict.NOT_RUN, progress.goal)
+            return give_answer(progress, Verdict.NOT_RUN, progress.target_state)
         case (Phase.RELEASING, NotWritten()):
             return replace(progress, phase=Phase.CONFIRMING), (Read(),)
         case (Phase.CONFIRMING, Found(stored=stored)):
             if stored is not None and is_pending(progress, stored):
-                return give_answer(progress, Verdict.NOT_RUN, progress.goal)
-            if stored is not None and stored == progress.known:
+                return give_answer(
+                    progress, Verdict.NOT_RUN, progress.target_state
+                )
+            if stored is not None and stored == progress.last_stored:
                 return write_release(progress, stored)
             released = replace(progress, pending=None, goal=None)
-            return consider(released, event, now_ms)
+            return handle_row(released, event, now_ms)
     return progress, ()
 
 
-def _advance_settling(progress: Progress, event: Event, now_ms: int) -> Next:
+def _advance_settling(
+    progress: Progress, event: Event, now_ms: int
+) -> Transition:
     match (progress.phase, event):
         case (Phase.CLEARING, Written() | NotWritten()):
             return replace(progress, phase=Phase.LOOKING), (Read(),)
         case (Phase.SETTLING, Written(revision=revision)):
-            return rest(progress, confirm_pending(progress, revision)), ()
+            return park_or_end(
+                progress, confirm_pending(progress, revision)
+            ), ()
         case (Phase.SETTLING, NotWritten()):
             return replace(progress, phase=Phase.CHECKING), (Read(),)
         case (Phase.CHECKING, Found(stored=stored)):
@@ -144,5 +156,5 @@
         case (Phase.PARKED, Replied(done=done)):
             return finish(progress, Verdict.RAN, done, now_ms)
         case (Phase.ASKING, Replied() | NeverSent() | NoOutcome()):
-            return recover(progress, event, now_ms)
+            return handle_agent_reply(progress, event, now_ms)
     return progress, ()
--- a/bergamotthread/request/call_request.py
+++ b/bergamotthread/request/call_request.py
@@ -6,7 +6,7 @@
 
 from bergamotthread.version.objects import CallRule, Service
 
-KEY_CHARACTERS_MAX = 200
+MAX_KEY_CHARACTERS = 200
 
 
 @dataclass(frozen=True)
@@ -75,7 +75,7 @@
     key_lifetime_ms: int = 0
 
 
-def rule_of(service: Service, method: str, path: str) -> CallRule:
+def find_rule(service: Service, method: str, path: str) -> CallRule:
     """Return the rule for a call: the one with the longest matching prefix.
 
     A call that matches no rule is treated as not idempotent.
--- a/bergamotthread/request/call_row.py
+++ b/bergamotthread/request/call_row.py
@@ -204,7 +204,7 @@
     return 0
 
 
-def sending_of(row: CallRow | None) -> Sending | None:
+def open_sending(row: CallRow | None) -> Sending | None:
     """Return the sending whose outcome is not known, or None."""
     if row is not None and isinstance(row.state, Dispatched | Unknown):
         return row.state.sending
@@ -240,7 +240,7 @@
 
 
 def settle(
-    row: CallRow, goal: State, owner: str, now_ms: int
+    row: CallRow, target_state: State, owner: str, now_ms: int
 ) -> CallRow | None:
     """Return the row in the state `goal`, or None if that is not allowed.
 
@@ -255,12 +255,12 @@
     now_ms
         Calendar time.
     """
-    if not _may_settle(row.state, goal):
+    if not _may_settle(row.state, target_state):
         return None
     return msgspec.structs.replace(
         row,
-        write_id=f'{owner}/{type(goal).__name__}/{row.fence}',
-        state=goal,
+        write_id=f'{owner}/{type(target_state).__name__}/{row.fence}',
+        state=target_state,
         changed_ms=now_ms,
     )
 
@@ -288,8 +288,8 @@
     return now_ms > row.changed_ms + row.lifetime_ms
 
 
-def _may_settle(state: State, goal: State) -> bool:
-    match (state, goal):
+def _may_settle(state: State, target_state: State) -> bool:
+    match (state, target_state):
         case (Reserved(owner=owner), Refused(owner=refused_by)):
             return owner == refused_by
         case (Dispatched(sending=sending), Refused(owner=refused_by)):
@@ -297,7 +297,7 @@
         case (Unknown(sending=sending), Refused(owner=refused_by)):
             return sending.owner == refused_by
         case (Dispatched(sending=sending), Done() | Unknown()):
-            return sending == goal.sending
+            return sending == target_state.sending
         case (Unknown(sending=sending), Done()):
-            return sending == goal.sending
+            return sending == target_state.sending
     return False
--- a/bergamotthread/request/call_store.py
+++ b/bergamotthread/request/call_store.py
@@ -24,23 +24,23 @@
 )
 from bergamotthread.request.held_bodies import HeldBodies
 
-_BACKOFF_MS = 20
-_GROWTH = 2
-_JITTER_MIN = 0.5
+_INITIAL_BACKOFF_MS = 20
+_BACKOFF_FACTOR = 2
+_MIN_JITTER_FACTOR = 0.5
 _MAX_DOUBLINGS = 6
 
 
 @dataclass
-class _Patience:
+class _Backoff:
     """Exponential backoff while accesses fail, for at most `limit_ms`."""
 
     clock: Clock
     rng: random.Random
-    limit_ms: float
+    max_failure_ms: float
     _failures: int = 0
-    _since_ms: float = 0
+    _first_failure_ms: float = 0
 
-    def reset(self) -> None:
+    def record_success(self) -> None:
         """Record that an access succeeded."""
         self._failures = 0
 
@@ -48,12 +48,12 @@
         """Wait, or raise `error` if accesses have failed for too long."""
         now_ms = self.clock.now_ms()
         if self._failures == 0:
-            self._since_ms = now_ms
+            self._first_failure_ms = now_ms
         self._failures += 1
-        if now_ms - self._since_ms > self.limit_ms:
+        if now_ms - self._first_failure_ms > self.max_failure_ms:
             raise error
         doublings = min(self._failures, _MAX_DOUBLINGS)
-        pause_ms = _BACKOFF_MS * _GROWTH**doublings
+        pause_ms = _INITIAL_BACKOFF_MS * _BACKOFF_FACTOR**doublings
         await self.clock.sleep_ms(pause_ms * self.rng.random())
 
 
@@ -88,13 +88,13 @@
 
     def __post_init__(self) -> None:
         limit_ms = self.limits.store_timeout_ms
-        self._reads = _Patience(self.clock, self.rng, limit_ms)
-        self._writes = _Patience(self.clock, self.rng, limit_ms)
+        self._reads = _Backoff(self.clock, self.rng, limit_ms)
+        self._writes = _Backoff(self.clock, self.rng, limit_ms)
 
-    def wait_at_most(self, limit_ms: float) -> None:
+    def set_max_failure(self, limit_ms: float) -> None:
         """Set how long the store may fail before an access is given up."""
-        self._reads.limit_ms = limit_ms
-        self._writes.limit_ms = limit_ms
+        self._reads.max_failure_ms = limit_ms
+        self._writes.max_failure_ms = limit_ms
 
     async def write(self, action: Write) -> Written | NotWritten:
         """Write the row, after the objects and rows that it depends on.
@@ -107,12 +107,12 @@
         try:
             written = await self._write(action)
         except StoreConflictError:
-            self._writes.reset()
+            self._writes.record_success()
             return NotWritten()
         except StoreUnavailableError as error:
             await self._writes.back_off(error)
             return NotWritten()
-        self._writes.reset()
+        self._writes.record_success()
         return written
 
     async def read(self) -> Found:
@@ -125,7 +125,7 @@
         """
         while True:
             try:
-                return self._found(await self.table.read(self.key))
+                return self._to_found(await self.table.read(self.key))
             except StoreUnavailableError as error:
                 await self._reads.back_off(error)
 
@@ -133,13 +133,13 @@
         """Read the row after a pause that doubles with each poll."""
         doublings = min(self._polls, _MAX_DOUBLINGS)
         self._polls += 1
-        grown_ms = self.limits.poll_interval_ms * _GROWTH**doublings
+        grown_ms = self.limits.poll_interval_ms * _BACKOFF_FACTOR**doublings
         pause_ms = min(self.limits.poll_interval_max_ms, grown_ms)
-        jitter = self.rng.uniform(_JITTER_MIN, 1)
+        jitter = self.rng.uniform(_MIN_JITTER_FACTOR, 1)
         await self.clock.sleep_ms(pause_ms * jitter)
         return await self.read()
 
-    async def body_of(self, done: Done) -> bytes | None:
+    async def read_body(self, done: Done) -> bytes | None:
         """Return the body of an answer, or None if it was not stored."""
         held = self.bodies.get(result_name(done.sending))
         if held is not None:
@@ -148,8 +148,8 @@
             return await self.object_store.get(done.stored_as)
         return None if done.omitted else done.body
 
-    def _found(self, row: Row | None) -> Found:
-        self._reads.reset()
+    def _to_found(self, row: Row | None) -> Found:
+        self._reads.record_success()
         if row is None:
             return Found(None)
         call_row = decode_row(row.body)
@@ -157,7 +157,7 @@
         return Found(Stored(call_row, row.revision), lapsed)
 
     async def _write(self, action: Write) -> Written:
-        await self._prepare(action.row)
+        await self._write_dependencies(action.row)
         row = await self.table.write(
             self.key,
             encode_row(action.row),
@@ -165,7 +165,7 @@
         )
         return Written(row.revision)
 
-    async def _prepare(self, row: CallRow) -> None:
+    async def _write_dependencies(self, row: CallRow) -> None:
         if isinstance(row.state, Unknown):
             await write_unknown_index(self.table, self.key)
         if not isinstance(row.state, Done):
--- a/bergamotthread/request/completion_stream.py
+++ b/bergamotthread/request/completion_stream.py
@@ -51,7 +51,7 @@
         self._options = options
         self._offset = options.offset
         self._digest = xxhash.xxh64()
-        self._digested = 0
+        self._digested_tokens = 0
         self._encode = msgspec.json.Encoder().encode
 
     async def events(self) -> AsyncIterator[bytes]:
@@ -65,14 +65,14 @@
         while True:
             if generation.offset > self._offset:
                 yield self._next_event()
-                self._live.consumed = self._offset
+                self._live.consumed_tokens = self._offset
             elif generation.is_over:
                 yield self._last_event()
                 return
             else:
                 await self._live.wait_change()
 
-    async def whole(self) -> bytes:
+    async def complete_answer(self) -> bytes:
         """Return the complete answer as one JSON document.
 
         Raises
@@ -82,7 +82,7 @@
         """
         generation = self._live.generation
         while not generation.is_over:
-            self._live.consumed = generation.offset
+            self._live.consumed_tokens = generation.offset
             await self._live.wait_change()
         if generation.refusal is not None:
             raise RefusedError(generation.refusal)
@@ -140,9 +140,11 @@
         )
 
     def _output_digest(self) -> int:
-        new_tokens = self._live.generation.tokens[self._digested : self._offset]
+        new_tokens = self._live.generation.tokens[
+            self._digested_tokens : self._offset
+        ]
         self._digest.update(''.join(new_tokens).encode())
-        self._digested = self._offset
+        self._digested_tokens = self._offset
         return self._digest.intdigest()
 
 
--- a/bergamotthread/request/generation.py
+++ b/bergamotthread/request/generation.py
@@ -30,7 +30,7 @@
     CANCELLED = 'cancelled'
 
 
-class Verdict(enum.StrEnum):
+class FrameVerdict(enum.StrEnum):
     """Result of handling a frame."""
 
     ACCEPTED = 'accepted'
@@ -194,29 +194,31 @@
             return False
         return place.incarnation in {0, incarnation}
 
-    def accept(self, frame: Frame, agent: str, incarnation: int) -> Verdict:
+    def accept(
+        self, frame: Frame, agent: str, incarnation: int
+    ) -> FrameVerdict:
         """Append the new part of a frame to the output."""
         if self.is_over:
-            return Verdict.STALE
+            return FrameVerdict.STALE
         if not self.is_current(agent, incarnation, frame.attempt):
-            return Verdict.STALE
-        self.pin_incarnation(incarnation)
+            return FrameVerdict.STALE
+        self.bind_incarnation(incarnation)
         return self._append(frame)
 
-    def pin_incarnation(self, incarnation: int) -> None:
+    def bind_incarnation(self, incarnation: int) -> None:
         """Accept the attempt's output from only one process of the agent."""
         place = self.place
         if not place.incarnation:
             self.place = replace(place, incarnation=incarnation)
 
-    def forget(self) -> None:
+    def detach(self) -> None:
         """Remove the generation from the shared state machine."""
         _machine.remove_model(self)
 
-    def _append(self, frame: Frame) -> Verdict:
+    def _append(self, frame: Frame) -> FrameVerdict:
         known_count = self.offset - frame.offset
         if known_count < 0:
-            return Verdict.GAP
+            return FrameVerdict.GAP
         new_tokens = frame.tokens[known_count:] if known_count else frame.tokens
         self.tokens.extend(new_tokens)
         end = frame.end
@@ -224,18 +226,18 @@
             end = EndMark(EndReason.LENGTH, self.offset)
         if end is not None:
             return self._finish(end)
-        return Verdict.ACCEPTED if new_tokens else Verdict.DUPLICATE
+        return FrameVerdict.ACCEPTED if new_tokens else FrameVerdict.DUPLICATE
 
-    def _finish(self, end: EndMark) -> Verdict:
+    def _finish(self, end: EndMark) -> FrameVerdict:
         if end.reason not in _COMPLETE_REASONS:
-            return Verdict.ACCEPTED
+            return FrameVerdict.ACCEPTED
         if end.count > self.offset:
-            return Verdict.GAP
+            return FrameVerdict.GAP
         if end.count < self.offset:
-            return Verdict.CORRUPT
+            return FrameVerdict.CORRUPT
         self.end = end
         self._trigger('completed')
-        return Verdict.ACCEPTED
+        return FrameVerdict.ACCEPTED
 
     def _trigger(self, event: str) -> None:
         source = self.state
--- a/bergamotthread/request/generation_refusal.py
+++ b/bergamotthread/request/generation_refusal.py
@@ -8,7 +8,7 @@
 from bergamotthread.request.live_generation import LiveGeneration
 from bergamotthread.request.refusal import Ran, ReasonCode, Refusal
 
-DECLINED_RETRY_MS = 1000
+DECLINED_RETRY_AFTER_MS = 1000
 
 
 def generation_refusal(
@@ -77,7 +77,7 @@
     )
     return msgspec.structs.replace(
         refusal,
-        retry_after_ms=rejection.retry_after_ms or DECLINED_RETRY_MS,
+        retry_after_ms=rejection.retry_after_ms or DECLINED_RETRY_AFTER_MS,
     )
 
 
--- a/bergamotthread/request/guarded_call.py
+++ b/bergamotthread/request/guarded_call.py
@@ -47,7 +47,7 @@
 from bergamotthread.request.call_store import CallStore
 from bergamotthread.request.refusal import Ran, ReasonCode
 
-OFFER_AGE_MAX_MS = 2000
+MAX_OFFER_AGE_MS = 2000
 _MS_PER_S = 1000
 
 
@@ -76,16 +76,16 @@
     answer: asyncio.Future[CallAnswer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future(),
     )
-    _cause: tuple[ReasonCode, str] = (
+    _refusal_cause: tuple[ReasonCode, str] = (
         ReasonCode.DEADLINE,
         'no answer before the deadline',
     )
 
     def __post_init__(self) -> None:
         self._started_ms = self.clock.now_ms()
-        self._held_since_ms = self._started_ms
-        self._limit_ms = self._started_ms + self.request.remaining_ms
-        self._offer: asyncio.Task[Event] | None = None
+        self._lease_start_ms = self._started_ms
+        self._deadline_ms = self._started_ms + self.request.remaining_ms
+        self._offer_task: asyncio.Task[Event] | None = None
 
     async def run(self) -> None:
         """Run the protocol to its end."""
@@ -99,13 +99,13 @@
     def _close(self) -> None:
         self.agents.close()
         self.store.bodies.release()
-        if self._offer is not None:
-            self._offer.cancel()
+        if self._offer_task is not None:
+            self._offer_task.cancel()
 
     async def _run(self) -> None:
         progress, actions = begin(self.claim, self.clock.calendar_ms())
-        self._offer = asyncio.ensure_future(self.agents.choose())
-        while not self._is_overdue():
+        self._offer_task = asyncio.ensure_future(self.agents.choose())
+        while not self._may_row_be_deleted():
             event = await self._carry_out(progress, actions)
             if event is None:
                 return
@@ -115,7 +115,7 @@
                 self.clock.calendar_ms(),
             )
 
-    def _is_overdue(self) -> bool:
+    def _may_row_be_deleted(self) -> bool:
         """Return whether a long pause may have led to the row's deletion."""
         age_ms = self.clock.now_ms() - self._started_ms
         return age_ms > self.claim.lifetime_ms / 2
@@ -130,30 +130,30 @@
             if isinstance(action, Answer):
                 await self._answer(action)
             else:
-                event = await self._bounded(action)
+                event = await self._execute_until_deadline(action)
         if event is None and progress.phase is Phase.PARKED:
-            return await self.agents.late_reply(
+            return await self.agents.wait_late_reply(
                 self.limits.late_answer_timeout_ms
             )
         return event
 
-    async def _bounded(self, action: Action) -> Event:
-        remaining_ms = self._limit_ms - self.clock.now_ms()
+    async def _execute_until_deadline(self, action: Action) -> Event:
+        remaining_ms = self._deadline_ms - self.clock.now_ms()
         try:
             async with asyncio.timeout(max(0, remaining_ms) / _MS_PER_S):
                 return await self._execute(action, remaining_ms)
         except TimeoutError:
-            return GaveUp(self._may_have_lapsed())
+            return GaveUp(self._may_have_lost_lease())
         except StoreUnavailableError as error:
-            self._cause = (ReasonCode.STORE_UNAVAILABLE, error.message)
-            return GaveUp(self._may_have_lapsed())
+            self._refusal_cause = (ReasonCode.STORE_UNAVAILABLE, error.message)
+            return GaveUp(self._may_have_lost_lease())
 
-    def _may_have_lapsed(self) -> bool:
+    def _may_have_lost_lease(self) -> bool:
         """Return whether others may hold the row.
 
         Half of the lease is left for clock skew.
         """
-        held_ms = self.clock.now_ms() - self._held_since_ms
+        held_ms = self.clock.now_ms() - self._lease_start_ms
         return held_ms > self.claim.lease_ms / 2
 
     async def _execute(self, action: Action, remaining_ms: float) -> Event:
@@ -174,47 +174,50 @@
 
     async def _write(self, action: Write) -> Event:
         if isinstance(action.row.state, Reserved | Dispatched):
-            self._held_since_ms = self.clock.now_ms()
+            self._lease_start_ms = self.clock.now_ms()
         return await self.store.write(action)
 
     async def _choose(self) -> Event:
-        offer = self._fresh_offer()
+        offer = self._take_offer()
         try:
             event = await offer
         finally:
             offer.cancel()
         reasons = '; '.join(self.agents.declined)
-        self._cause = (ReasonCode.NO_UPSTREAM, reasons or 'no known agent')
+        self._refusal_cause = (
+            ReasonCode.NO_UPSTREAM,
+            reasons or 'no known agent',
+        )
         return event
 
-    def _fresh_offer(self) -> asyncio.Task[Event]:
+    def _take_offer(self) -> asyncio.Task[Event]:
         """Return the offer made at the start, or a new one if it is old."""
-        offer = self._offer
-        self._offer = None
+        offer = self._offer_task
+        self._offer_task = None
         age_ms = self.clock.now_ms() - self._started_ms
-        if offer is not None and age_ms <= OFFER_AGE_MAX_MS:
+        if offer is not None and age_ms <= MAX_OFFER_AGE_MS:
             return offer
         if offer is not None:
             offer.cancel()
         return asyncio.ensure_future(self.agents.choose())
 
     async def _answer(self, answer: Answer) -> None:
-        self._limit_ms = self.clock.now_ms() + self.limits.settle_timeout_ms
-        self.store.wait_at_most(self.limits.settle_timeout_ms)
+        self._deadline_ms = self.clock.now_ms() + self.limits.settle_timeout_ms
+        self.store.set_max_failure(self.limits.settle_timeout_ms)
         if self.answer.done():
             return
         if answer.verdict is Verdict.RAN and isinstance(answer.state, Done):
             await self._answer_done(answer.state)
             return
         if isinstance(answer.state, Refused) and answer.state.reason:
-            reason, detail = self._cause
-            self._cause = (reason, f'{answer.state.reason}; {detail}')
-        refused = refuse_verdict(self.request, answer, self._cause)
+            reason, detail = self._refusal_cause
+            self._refusal_cause = (reason, f'{answer.state.reason}; {detail}')
+        refused = refuse_verdict(self.request, answer, self._refusal_cause)
         self.answer.set_exception(refused)
 
     async def _answer_done(self, done: Done) -> None:
         try:
-            body = await self.store.body_of(done)
+            body = await self.store.read_body(done)
         except StoreUnavailableError as error:
             self._refuse(ReasonCode.STORE_UNAVAILABLE, error.message)
             return
@@ -225,7 +228,7 @@
             )
             return
         if done.omitted:
-            self.store.bodies.drop(result_name(done.sending))
+            self.store.bodies.remove(result_name(done.sending))
         self.answer.set_result(
             CallAnswer(
                 done.status,
--- a/bergamotthread/request/held_bodies.py
+++ b/bergamotthread/request/held_bodies.py
@@ -9,14 +9,14 @@
 class ByteBudget:
     """Budget of bytes shared by all calls of a process."""
 
-    limit: int
-    used: int = 0
+    limit_bytes: int
+    used_bytes: int = 0
 
-    def take(self, count: int) -> bool:
+    def reserve(self, count: int) -> bool:
         """Reserve `count` bytes; return False if the budget is too small."""
-        if self.used + count > self.limit:
+        if self.used_bytes + count > self.limit_bytes:
             return False
-        self.used += count
+        self.used_bytes += count
         return True
 
 
@@ -26,7 +26,7 @@
 
     budget: ByteBudget
     by_name: dict[str, bytes] = field(default_factory=dict)
-    _taken: int = 0
+    _reserved_bytes: int = 0
 
     def hold(self, name: str, body: bytes) -> bool:
         """Hold an answer until the end of the call.
@@ -37,21 +37,21 @@
         if name in self.by_name:
             return True
         self.by_name[name] = body
-        granted = self.budget.take(len(body))
+        granted = self.budget.reserve(len(body))
         if granted:
-            self._taken += len(body)
+            self._reserved_bytes += len(body)
         return granted
 
     def get(self, name: str) -> bytes | None:
         """Return an answer, or None if it is not held."""
         return self.by_name.get(name)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove an answer that its caller has received."""
         self.by_name.pop(name, None)
 
     def release(self) -> None:
         """Remove all answers and return their bytes to the budget."""
         self.by_name.clear()
-        self.budget.used -= self._taken
-        self._taken = 0
+        self.budget.used_bytes -= self._reserved_bytes
+        self._reserved_bytes = 0
--- a/bergamotthread/request/live_generation.py
+++ b/bergamotthread/request/live_generation.py
@@ -14,7 +14,7 @@
 from bergamotthread.version.objects import ResumePolicy
 from bergamotthread.wire.messages import EndReason
 
-ACK_TOKENS = 256
+ACK_INTERVAL_TOKENS = 256
 ACK_INTERVAL_MS = 2000
 
 
@@ -74,29 +74,29 @@
         self.generation = generation
         self.placement_request = placement_request
         self.policy = policy
-        self.progress = SilenceDetector(TOKEN_LIMITS, now_ms)
+        self.silence_detector = SilenceDetector(TOKEN_LIMITS, now_ms)
         self.readers = 0
         self.config_version = 0
         self.abandoned_ms = now_ms
-        self.consumed = generation.offset
-        self.confirmed = False
-        self.admitted = False
-        self.produced = False
-        self.was_admitted = False
+        self.consumed_tokens = generation.offset
+        self.is_confirmed = False
+        self.is_admitted = False
+        self.has_output = False
+        self.was_ever_admitted = False
         self.is_adopted = False
         self.unconfirmed: set[AttemptPlace] = set()
         self.rejection: Rejected | None = None
         self.dispatched_ms = now_ms
         self.fetched_ms = float(0)
-        self._acked = generation.offset
+        self._acked_tokens = generation.offset
         self._acked_ms = now_ms
         self.interrupted_ms = float(0)
         self.attempts = 0
         self.excluded: frozenset[str] = frozenset()
         self.standby = ''
-        self.warmed_at = 0
+        self.warmed_offset = 0
         self.warm_attempts = 0
-        self.resumed_at = generation.offset
+        self.resumed_offset = generation.offset
         self.must_spend_retry = False
         self.started_ms = now_ms
         self.required_offset = 0
@@ -108,59 +108,59 @@
     @property
     def may_have_run(self) -> bool:
         """Return whether any attempt may have reached an engine."""
-        return self.was_admitted or bool(self.unconfirmed)
+        return self.was_ever_admitted or bool(self.unconfirmed)
 
     @property
     def awaits_output(self) -> bool:
         """Return whether an adopted attempt is not confirmed by its agent."""
-        return self.is_adopted and not self.confirmed
+        return self.is_adopted and not self.is_confirmed
 
     @property
-    def backlog(self) -> int:
+    def backlog_tokens(self) -> int:
         """Return the number of accepted tokens that the caller has not read.
 
         An agent stops reading from its engine while the backlog fills its
         window, so an engine must not be suspected for its silence then.
         """
-        return self.generation.offset - self.consumed
+        return self.generation.offset - self.consumed_tokens
 
     def is_ack_due(self, now_ms: float) -> bool:
         """Return whether an acknowledgement should be sent to the agent."""
-        if self.consumed - self._acked >= ACK_TOKENS:
+        if self.consumed_tokens - self._acked_tokens >= ACK_INTERVAL_TOKENS:
             return True
         return now_ms - self._acked_ms >= ACK_INTERVAL_MS
 
-    def note_ack(self, now_ms: float) -> None:
+    def record_ack(self, now_ms: float) -> None:
         """Record that an acknowledgement is sent now."""
-        self._acked = self.consumed
+        self._acked_tokens = self.consumed_tokens
         self._acked_ms = now_ms
 
     def admit(self) -> None:
         """Record that the current attempt was sent to an engine."""
-        self.confirmed = True
-        self.admitted = True
-        self.was_admitted = True
+        self.is_confirmed = True
+        self.is_admitted = True
+        self.was_ever_admitted = True
 
     def expect_outcome(self, now_ms: float) -> asyncio.Future[Outcome]:
         """Return the future with the outcome of the attempt starting now."""
         self._outcome = asyncio.get_running_loop().create_future()
-        self.confirmed = False
-        self.admitted = False
-        self.produced = False
+        self.is_confirmed = False
+        self.is_admitted = False
+        self.has_output = False
         self.is_adopted = False
         self.attempts += 1
-        self.resumed_at = self.generation.offset
+        self.resumed_offset = self.generation.offset
         self.dispatched_ms = now_ms
         self.fetched_ms = now_ms
-        self.progress.restart(now_ms)
+        self.silence_detector.restart(now_ms)
         return self._outcome
 
-    def settle(self, outcome: Outcome) -> None:
+    def set_outcome(self, outcome: Outcome) -> None:
         """Set the outcome of the current attempt; only the first counts."""
         if self._outcome is not None and not self._outcome.done():
             self._outcome.set_result(outcome)
 
-    def notify(self) -> None:
+    def notify_readers(self) -> None:
         """Wake all readers."""
         waiters = self._waiters
         self._waiters = []
--- a/bergamotthread/request/output_buffer.py
+++ b/bergamotthread/request/output_buffer.py
@@ -20,9 +20,9 @@
     heard_ms: float
     tokens: list[str] = field(default_factory=list)
     end: EndMark | None = None
-    end_is_sent: bool = False
-    sent: int = 0
-    acknowledged: int = 0
+    is_end_sent: bool = False
+    sent_tokens: int = 0
+    acknowledged_tokens: int = 0
     ended_ms: float = 0
 
     @classmethod
@@ -44,9 +44,9 @@
         )
 
     @property
-    def unacknowledged(self) -> int:
+    def unacknowledged_tokens(self) -> int:
         """Return the number of tokens that are not acknowledged."""
-        return len(self.tokens) - self.acknowledged
+        return len(self.tokens) - self.acknowledged_tokens
 
     def finish(self, end: EndMark, now_ms: float) -> None:
         """Set the end mark; a second one is ignored."""
@@ -57,29 +57,29 @@
     def resubscribe(self, subscriber: str, offset: int, now_ms: float) -> None:
         """Change the subscriber, to which output from `offset` on is sent."""
         self.subscriber = subscriber
-        self.sent = min(offset, len(self.tokens))
-        self.acknowledged = self.sent
-        self.end_is_sent = False
+        self.sent_tokens = min(offset, len(self.tokens))
+        self.acknowledged_tokens = self.sent_tokens
+        self.is_end_sent = False
         self.heard_ms = now_ms
 
     def acknowledge(self, offset: int, now_ms: float) -> None:
         """Record that the subscriber's caller has read up to `offset`."""
         self.heard_ms = now_ms
         confirmed = min(offset, len(self.tokens))
-        self.acknowledged = max(self.acknowledged, confirmed)
+        self.acknowledged_tokens = max(self.acknowledged_tokens, confirmed)
 
     def take_frame(self) -> Frame | None:
         """Return the output that was not yet sent, or None if there is none."""
-        end = None if self.end_is_sent else self.end
-        if self.sent == len(self.tokens) and end is None:
+        end = None if self.is_end_sent else self.end
+        if self.sent_tokens == len(self.tokens) and end is None:
             return None
         frame = Frame(
             self.dispatch.generation,
             self.dispatch.attempt,
-            self.sent,
-            tuple(self.tokens[self.sent :]),
+            self.sent_tokens,
+            tuple(self.tokens[self.sent_tokens :]),
             end,
         )
-        self.sent = len(self.tokens)
-        self.end_is_sent = end is not None or self.end_is_sent
+        self.sent_tokens = len(self.tokens)
+        self.is_end_sent = end is not None or self.is_end_sent
         return frame
--- a/bergamotthread/request/plain_call.py
+++ b/bergamotthread/request/plain_call.py
@@ -22,8 +22,8 @@
     CallStatus,
 )
 
-ATTEMPTS_MAX = 4
-BACKOFF_MS = 25
+MAX_ATTEMPTS = 4
+INITIAL_BACKOFF_MS = 25
 _MS_PER_S = 1000
 
 
@@ -36,12 +36,12 @@
     """
 
     request: CallRequest
-    call: str
+    call_id: str
     transport: Transport
     mailboxes: CallMailboxes
     clock: Clock
     rng: random.Random
-    budget: RetryCredit
+    retry_budget: RetryCredit
 
     async def run(self) -> CallAnswer:
         """Return the first answer.
@@ -54,12 +54,12 @@
         """
         if not self.request.agents:
             raise self._refuse(ReasonCode.NO_UPSTREAM, 'no agent', Ran.NOT_RUN)
-        self.budget.earn()
+        self.retry_budget.earn()
         deadline_ms = self.clock.now_ms() + self.request.remaining_ms
         agents = cycle(self.request.agents)
         ran = Ran.NOT_RUN
         reason = ''
-        for attempt in range(1, ATTEMPTS_MAX + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             reply = await self._attempt(attempt, agents, deadline_ms)
             if reply.outcome is CallStatus.DONE:
                 return CallAnswer(reply.status, reply.headers, reply.body)
@@ -76,33 +76,33 @@
     def _may_retry(self, reply: CallReply) -> bool:
         if reply.outcome is CallStatus.NOT_DISPATCHED:
             return True
-        return self.budget.spend()
+        return self.retry_budget.spend()
 
     async def _attempt(
         self,
         attempt: int,
         agents: Iterator[str],
-        limit_ms: float,
+        deadline_ms: float,
     ) -> CallReply:
         agent = next(agents)
-        remaining_ms = max(0, limit_ms - self.clock.now_ms())
+        remaining_ms = max(0, deadline_ms - self.clock.now_ms())
         wait_ms = min(self.request.timeout_ms, remaining_ms)
-        with self.mailboxes.opened(self.call, attempt) as mailbox:
-            self.transport.send(agent, self._dispatch(attempt, wait_ms))
+        with self.mailboxes.opened(self.call_id, attempt) as mailbox:
+            self.transport.send(agent, self._build_dispatch(attempt, wait_ms))
             try:
                 async with asyncio.timeout(wait_ms / _MS_PER_S):
-                    return await _reply_in(mailbox)
+                    return await _wait_reply(mailbox)
             except TimeoutError:
                 return CallReply(
-                    self.call,
+                    self.call_id,
                     attempt,
                     CallStatus.UNKNOWN,
                     f'no answer from {agent} within {wait_ms:.0f} ms',
                 )
 
-    def _dispatch(self, attempt: int, wait_ms: float) -> CallDispatch:
+    def _build_dispatch(self, attempt: int, wait_ms: float) -> CallDispatch:
         return CallDispatch(
-            self.call,
+            self.call_id,
             attempt,
             self.request.method,
             self.request.path,
@@ -114,7 +114,7 @@
         )
 
     async def _back_off(self, attempt: int) -> None:
-        max_pause_ms = BACKOFF_MS * 2**attempt
+        max_pause_ms = INITIAL_BACKOFF_MS * 2**attempt
         await self.clock.sleep_ms(self.rng.random() * max_pause_ms)
 
     def _refuse(
@@ -132,7 +132,7 @@
         )
 
 
-async def _reply_in(mailbox: Mailbox) -> CallReply:
+async def _wait_reply(mailbox: Mailbox) -> CallReply:
     while True:
         envelope = await mailbox.get()
         if isinstance(envelope.message, CallReply):
--- a/bergamotthread/request/relay/attempt_loop.py
+++ b/bergamotthread/request/relay/attempt_loop.py
@@ -36,7 +36,7 @@
     @property
     def has_attempts_left(self) -> bool:
         """Return whether fewer attempts were sent than the route allows."""
-        return self.attempts_sent < self.call.route.attempts_max
+        return self.attempts_sent < self.call.route.max_attempts
 
     def spend_attempt(self) -> bool:
         """Return whether the next attempt is the first or within the budget.
--- a/bergamotthread/request/relay/plain_relay.py
+++ b/bergamotthread/request/relay/plain_relay.py
@@ -96,7 +96,7 @@
         may_retry = self._call.route.repeatability.may_repeat
         if not may_retry or self._limits.attempts_sent > 1:
             return remaining_ms
-        target_ms = self._call.route.first_event_goal_ms
+        target_ms = self._call.route.first_event_target_ms
         return min(remaining_ms, target_ms * FIRST_ATTEMPT_TARGET_FRACTION)
 
     def _handle_outcome(
--- a/bergamotthread/request/relay/stream_relay.py
+++ b/bergamotthread/request/relay/stream_relay.py
@@ -83,7 +83,7 @@
         self._caller_times = ArrivalTimes(call.request.received_ms)
         self._is_from_copy = False
         self._last_outcome = ''
-        target_ms = call.route.first_event_goal_ms
+        target_ms = call.route.first_event_target_ms
         received_ms = call.request.received_ms
         self._placement_deadline_ms = (
             received_ms + target_ms * PLACEMENT_TARGET_FRACTION
--- a/bergamotthread/testing/version_group.py
+++ b/bergamotthread/testing/version_group.py
@@ -227,7 +227,7 @@
         now_ms = self.clock.now_ms()
         version = member.holder.version
         sample = Admission(now_ms, member.address, version)
-        if member.holder.may_admit() is None:
+        if member.holder.admission_refusal() is None:
             self.admissions.append(sample)
         else:
             self.refusals.append(sample)
--- a/bergamotthread/version/acceptance.py
+++ b/bergamotthread/version/acceptance.py
@@ -13,7 +13,7 @@
     StoreUnavailableError,
 )
 from bergamotthread.process.store.platform import Table
-from bergamotthread.version.lease import lapse_ms
+from bergamotthread.version.lease import lease_expiry_ms
 from bergamotthread.version.record import (
     VERSION_KEY,
     VersionRow,
@@ -93,12 +93,12 @@
             )
         published_ms = self.clock.now_ms()
         while True:
-            acceptance = await self._look(version, published_ms)
+            acceptance = await self._check(version, published_ms)
             if acceptance.is_accepted or acceptance.waited_ms >= timeout_ms:
                 return acceptance
             await self.clock.sleep_ms(ACCEPTANCE_POLL_MS)
 
-    async def _look(self, version: int, published_ms: float) -> Acceptance:
+    async def _check(self, version: int, published_ms: float) -> Acceptance:
         try:
             holders = await read_holders(self.table)
         except StoreUnavailableError:
@@ -111,16 +111,16 @@
         admitting = tuple(
             stored
             for stored in behind
-            if waited_ms <= lapse_ms(stored.holder.outage_lease_ms)
+            if waited_ms <= lease_expiry_ms(stored.holder.outage_lease_ms)
         )
         stopped = tuple(stored for stored in behind if stored not in admitting)
-        is_lapsed = waited_ms > lapse_ms(0)
+        is_lapsed = waited_ms > lease_expiry_ms(0)
         if is_lapsed and not admitting:
-            await self._forget(stopped)
+            await self._delete_expired(stopped)
             return Acceptance(version, waited_ms, True, (), stopped)
         return Acceptance(version, waited_ms, False, admitting, stopped)
 
-    async def _forget(self, stopped: tuple[StoredHolder, ...]) -> None:
+    async def _delete_expired(self, stopped: tuple[StoredHolder, ...]) -> None:
         """Delete rows with expired leases, unless they were renewed."""
         for stored in stopped:
             with contextlib.suppress(StoreConflictError, StoreUnavailableError):
--- a/bergamotthread/version/archive.py
+++ b/bergamotthread/version/archive.py
@@ -16,7 +16,7 @@
     tail_name,
 )
 
-MAX_FOLLOWED = 256
+MAX_REPLAYED_PUBLICATIONS = 256
 
 
 class MissingObjectError(BergamotError):
@@ -35,7 +35,9 @@
     store: ObjectStore
     _bodies_by_name: dict[str, bytes] = field(default_factory=dict)
 
-    async def newest(self, row: VersionRow, held: VersionState) -> VersionState:
+    async def newest(
+        self, row: VersionRow, start_state: VersionState
+    ) -> VersionState:
         """Return the state of the row's version.
 
         Parameters
@@ -44,15 +46,15 @@
             State to start from; the row's snapshot is used instead if the
             state is more than `MAX_FOLLOWED` versions old or empty.
         """
-        if held.version == row.version:
-            return held
-        is_far = row.version - held.version > MAX_FOLLOWED
-        if not held.version or is_far:
-            held = await self._snapshot(row.snapshot)
-        for publication in await self.publications(row, held.version):
-            held = held.follow(publication)
+        if start_state.version == row.version:
+            return start_state
+        is_far = row.version - start_state.version > MAX_REPLAYED_PUBLICATIONS
+        if not start_state.version or is_far:
+            start_state = await self._snapshot(row.snapshot)
+        for publication in await self.publications(row, start_state.version):
+            start_state = start_state.apply(publication)
         self._bodies_by_name.clear()
-        return held
+        return start_state
 
     async def version(self, row: VersionRow, version: int) -> VersionState:
         """Return the state of any version in the row's history.
@@ -69,14 +71,14 @@
             )
         tail = await self.tail(row.publication_id)
         publications = tail.publications
-        while not _covers(tail, publications, version):
+        while not _reaches_version(tail, publications, version):
             tail = await self.tail(publications[0].previous_id)
             later = publications if tail.snapshot_version < version else ()
             publications = tail.publications + later
         state = await self._snapshot(tail.snapshot)
         for publication in publications:
             if state.version < publication.version <= version:
-                state = state.follow(publication)
+                state = state.apply(publication)
         self._bodies_by_name.clear()
         return state
 
@@ -127,11 +129,11 @@
         return body
 
 
-def _covers(
+def _reaches_version(
     tail: Tail,
-    walked: tuple[Publication, ...],
+    publications: tuple[Publication, ...],
     version: int,
 ) -> bool:
     """Return whether `walked` continues the tail's snapshot to `version`."""
     starts_early = tail.snapshot_version < version
-    return starts_early and walked[0].version <= tail.snapshot_version + 1
+    return starts_early and publications[0].version <= tail.snapshot_version + 1
--- a/bergamotthread/version/check_rules.py
+++ b/bergamotthread/version/check_rules.py
@@ -30,8 +30,8 @@
 
 _NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,99}')
 _DIGEST = re.compile('[0-9a-f]{64}')
-_NAME_RULE = 'expected 1 to 100 letters, digits, dots, dashes, underscores'
-_DIGEST_RULE = 'expected a SHA-256 digest of 64 lower-case hex digits'
+_EXPECTED_NAME = 'expected 1 to 100 letters, digits, dots, dashes, underscores'
+_EXPECTED_DIGEST = 'expected a SHA-256 digest of 64 lower-case hex digits'
 
 Faults = Iterator[Fault]
 _Rule = Callable[[SetIndex], Iterable[Fault]]
@@ -62,7 +62,7 @@
         for position, named in enumerate(getattr(index.object_set, kind)):
             path = f'$.{kind}[{position}].name'
             if not _NAME.fullmatch(named.name):
-                yield Fault(path, named.name, _NAME_RULE)
+                yield Fault(path, named.name, _EXPECTED_NAME)
             first = first_by_name.setdefault(named.name, position)
             if first != position:
                 expected = f'already used at $.{kind}[{first}]'
@@ -74,10 +74,10 @@
     for kind in ('teams', 'operators'):
         for position, owner in enumerate(getattr(index.object_set, kind)):
             path = f'$.{kind}[{position}].credential_hashes'
-            yield from _check_owner(path, owner, path_by_digest)
+            yield from _check_credential_hashes(path, owner, path_by_digest)
 
 
-def _check_owner(
+def _check_credential_hashes(
     path: str,
     owner: Team | Operator,
     path_by_digest: dict[str, str],
@@ -85,7 +85,7 @@
     for position, digest in enumerate(owner.credential_hashes):
         digest_path = f'{path}[{position}]'
         if not _DIGEST.fullmatch(digest):
-            yield Fault(digest_path, digest, _DIGEST_RULE)
+            yield Fault(digest_path, digest, _EXPECTED_DIGEST)
         first = path_by_digest.setdefault(digest, digest_path)
         if first != digest_path:
             yield Fault(digest_path, digest, f'already used at {first}')
@@ -208,7 +208,7 @@
         yield Fault(f'{path}.deadline_ms', stop.deadline_ms, expected)
 
 
-def _check_lease(index: SetIndex) -> Faults:
+def _check_outage_lease(index: SetIndex) -> Faults:
     lease_ms = index.object_set.outage_lease_ms
     path = '$.outage_lease_ms'
     yield from check_range(path, lease_ms, 0, MAX_OUTAGE_LEASE_MS)
@@ -223,6 +223,6 @@
     _check_services,
     _check_upstreams,
     _check_stops,
-    _check_lease,
+    _check_outage_lease,
     check_routes,
 )
--- a/bergamotthread/version/checks.py
+++ b/bergamotthread/version/checks.py
@@ -17,7 +17,9 @@
 MAX_SET_BYTES = 64 * 1024 * 1024
 MAX_SHOWN_CHARS = 120
 
-_AT_PATH = re.compile(r'^(?P<expected>.*?)(?: - at `(?P<path>[^`]*)`)?$', re.S)
+_DECODE_MESSAGE = re.compile(
+    r'^(?P<expected>.*?)(?: - at `(?P<path>[^`]*)`)?$', re.S
+)
 _PATH_STEP = re.compile(r'\.(?P<field>[^.\[]+)|\[(?P<index>\d+)\]')
 
 
@@ -69,7 +71,7 @@
         encoded = Path(path).read_bytes()
     except OSError as error:
         reason = error.strerror or 'cannot be read'
-        raise _as_group(Fault('$', source, reason), source) from error
+        raise _group_of_one(Fault('$', source, reason), source) from error
     object_set = decode_object_set(encoded, source=source)
     check_object_set(object_set, source=source)
     return object_set
@@ -86,14 +88,16 @@
     """
     if len(encoded) > MAX_SET_BYTES:
         expected = f'expected at most {MAX_SET_BYTES} bytes'
-        raise _as_group(Fault('$', len(encoded), expected), source)
+        raise _group_of_one(Fault('$', len(encoded), expected), source)
     try:
         return msgspec.json.decode(encoded, type=ObjectSet)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _as_group(_decode_fault(str(error), encoded), source) from error
+        raise _group_of_one(
+            _decode_fault(str(error), encoded), source
+        ) from error
 
 
-def _as_group(fault: Fault, source: str) -> ObjectsError:
+def _group_of_one(fault: Fault, source: str) -> ObjectsError:
     return ObjectsError(
         'the set of objects cannot be read',
         [CheckError(fault, source=source)],
@@ -101,7 +105,7 @@
 
 
 def _decode_fault(message: str, encoded: bytes) -> Fault:
-    match = _AT_PATH.match(message)
+    match = _DECODE_MESSAGE.match(message)
     path = (match and match['path']) or '$'
     expected = match['expected'] if match else message
     try:
--- a/bergamotthread/version/diff.py
+++ b/bergamotthread/version/diff.py
@@ -60,8 +60,8 @@
     removals: list[ObjectName] = []
     upserts_by_kind: dict[str, tuple[Any, ...]] = {}
     for kind in KINDS:
-        old_by_name = _index(old, kind)
-        new_by_name = _index(new, kind)
+        old_by_name = _index_by_name(old, kind)
+        new_by_name = _index_by_name(new, kind)
         upserts_by_kind[kind] = tuple(
             new_object
             for name, new_object in new_by_name.items()
@@ -86,7 +86,9 @@
     for kind in KINDS:
         if kind not in changed_kinds:
             continue
-        by_name = _index(old, kind) | _index(changes.upserts, kind)
+        by_name = _index_by_name(old, kind) | _index_by_name(
+            changes.upserts, kind
+        )
         for removal in changes.removals:
             if removal.kind == kind:
                 by_name.pop(removal.name, None)
@@ -106,7 +108,7 @@
     return '\n'.join(_render_lines(old, new))
 
 
-def _index(object_set: ObjectSet, kind: str) -> dict[str, Any]:
+def _index_by_name(object_set: ObjectSet, kind: str) -> dict[str, Any]:
     return {named.name: named for named in getattr(object_set, kind)}
 
 
@@ -115,7 +117,7 @@
     for removal in sorted(changes.removals):
         yield f'- {removal}'
     for kind in KINDS:
-        old_by_name = _index(old, kind)
+        old_by_name = _index_by_name(old, kind)
         for upsert in getattr(changes.upserts, kind):
             old_object = old_by_name.get(upsert.name)
             if old_object is None:
@@ -139,11 +141,13 @@
 
 
 def _render_field(field: str, old: msgspec.Struct, new: msgspec.Struct) -> str:
-    return f'{field}: {_show(old, field)} -> {_show(new, field)}'
+    return (
+        f'{field}: {_encode_field(old, field)} -> {_encode_field(new, field)}'
+    )
 
 
-def _show(one: msgspec.Struct, field: str) -> str:
-    encoded = msgspec.json.encode(getattr(one, field)).decode()
+def _encode_field(config_object: msgspec.Struct, field: str) -> str:
+    encoded = msgspec.json.encode(getattr(config_object, field)).decode()
     if len(encoded) <= MAX_SHOWN_VALUE_CHARS:
         return encoded
     return f'{encoded[:MAX_SHOWN_VALUE_CHARS]}...'
--- a/bergamotthread/version/distribution.py
+++ b/bergamotthread/version/distribution.py
@@ -32,7 +32,7 @@
     decode_record,
 )
 from bergamotthread.version.registration import Registration
-from bergamotthread.version.relay import VersionRelay, follow_bundle
+from bergamotthread.version.relay import VersionRelay, apply_bundle
 from bergamotthread.version.sources import (
     MAX_FANOUT,
     PendingRequests,
@@ -51,13 +51,13 @@
 )
 
 POLL_INTERVAL_MS = 500
-TABLELESS_POLL_INTERVAL_MS = 5000
-FRESH_PROOF_MS = 1500
+NO_TABLE_POLL_INTERVAL_MS = 5000
+MAX_FRESH_PROOF_AGE_MS = 1500
 READ_BACKOFF_MS = 1000
 REGISTER_INTERVAL_MS = 1000
-HEARD_ASK_INTERVAL_MS = 50
+REPORTED_VERSION_REQUEST_INTERVAL_MS = 50
 RETRY_AFTER_MS = 1000
-START_FANOUT = 2
+INITIAL_FANOUT = 2
 LOG_INTERVAL_S = 60
 
 
@@ -107,9 +107,9 @@
         self._sources = SourceChoice(transport.address)
         self._requests = PendingRequests(transport.incarnation)
         self._proof = asyncio.Event()
-        self._why = 'no version received yet'
-        self._register_after_ms = -math.inf
-        self._heard_ask_after_ms = -math.inf
+        self._last_failure = 'no version received yet'
+        self._next_registration_ms = -math.inf
+        self._next_version_request_ms = -math.inf
         self._is_closed = False
 
     @classmethod
@@ -121,7 +121,7 @@
         """Return a holder with one fixed set, for tests and demonstrations."""
         holder = cls(None, None, _NoTransport(), Clock.from_system(), tuple)
         holder._adopt(VersionState(version, object_set=object_set), ())
-        holder.lease.prove(math.inf)
+        holder.lease.record_proof(math.inf)
         return holder
 
     @property
@@ -129,7 +129,7 @@
         """Return the number of the version in force, 0 if there is none."""
         return self._state.version
 
-    def may_admit(self) -> Refusal | None:
+    def admission_refusal(self) -> Refusal | None:
         """Return the refusal for new requests, or None if they are admitted."""
         now_ms = self._clock.now_ms()
         if self.current is None or self._is_closed:
@@ -156,7 +156,7 @@
         RefusedError
             If no request may be admitted now.
         """
-        refusal = self.may_admit()
+        refusal = self.admission_refusal()
         if refusal is not None:
             raise RefusedError(refusal)
         if self.current is None:
@@ -168,7 +168,7 @@
         peer = envelope.sender
         match envelope.message:
             case ConfigRequest(version=version, nonce=nonce):
-                self._answer(peer, version, nonce)
+                self._send_notice(peer, version, nonce)
             case ConfigNotice() as notice:
                 self._on_notice(peer, notice)
             case (
@@ -177,25 +177,27 @@
                 | Acks(config_version=version)
                 | OutputBatch(config_version=version)
             ):
-                self.on_version_heard(peer, version)
+                self.on_version_reported(peer, version)
 
-    def on_version_heard(self, peer: str, version: int) -> None:
+    def on_version_reported(self, peer: str, version: int) -> None:
         """Ask a peer for its version if that is newer than the one held."""
         now_ms = self._clock.now_ms()
-        if version > self.version and now_ms >= self._heard_ask_after_ms:
-            self._heard_ask_after_ms = now_ms + HEARD_ASK_INTERVAL_MS
-            self._ask(peer)
+        if version > self.version and now_ms >= self._next_version_request_ms:
+            self._next_version_request_ms = (
+                now_ms + REPORTED_VERSION_REQUEST_INTERVAL_MS
+            )
+            self._send_request(peer)
 
     async def run(self) -> None:
         """Keep the version and the lease up to date until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._ask_peers())
+            tasks.create_task(self._poll_peers())
             if self._table is not None:
-                tasks.create_task(self._read_table(self._table))
+                tasks.create_task(self._poll_table(self._table))
 
     async def wait_serving(self) -> None:
         """Return once requests may be admitted."""
-        while self.may_admit() is not None:
+        while self.admission_refusal() is not None:
             self._proof.clear()
             await self._proof.wait()
 
@@ -205,10 +207,10 @@
         if self._registration is not None:
             await self._registration.remove()
 
-    def _refuse(self, what: str, figures: dict[str, float]) -> Refusal:
+    def _refuse(self, problem: str, figures: dict[str, float]) -> Refusal:
         return Refusal(
             reason=ReasonCode.NO_CONFIGURATION,
-            detail=f'{what}: {self._why}',
+            detail=f'{problem}: {self._last_failure}',
             step=Step.ADMIT,
             ran=Ran.NOT_RUN,
             config_version=self.version,
@@ -216,40 +218,40 @@
             figures=figures,
         )
 
-    async def _ask_peers(self) -> None:
+    async def _poll_peers(self) -> None:
         while True:
-            if self._is_question_due():
-                fanout = MAX_FANOUT if self.version else START_FANOUT
+            if self._is_request_due():
+                fanout = MAX_FANOUT if self.version else INITIAL_FANOUT
                 for peer in self._sources.choose(
                     self._peers(),
                     max_fanout=fanout,
                 ):
-                    self._ask(peer)
-            await self._clock.sleep_ms(self._ask_interval_ms())
+                    self._send_request(peer)
+            await self._clock.sleep_ms(self._peer_poll_interval_ms())
 
-    def _ask_interval_ms(self) -> float:
+    def _peer_poll_interval_ms(self) -> float:
         if self._table is None and self.version:
-            return TABLELESS_POLL_INTERVAL_MS
+            return NO_TABLE_POLL_INTERVAL_MS
         return POLL_INTERVAL_MS
 
-    async def _read_table(self, table: Table) -> None:
+    async def _poll_table(self, table: Table) -> None:
         while True:
             pause_ms: float = POLL_INTERVAL_MS
             if self._is_read_due():
                 try:
                     await self._read_newest(table)
                 except BergamotError as error:
-                    self._why = str(error)
+                    self._last_failure = str(error)
                     pause_ms = READ_BACKOFF_MS
             await self._register()
             await self._clock.sleep_ms(pause_ms)
 
-    def _is_question_due(self) -> bool:
-        is_fresh = self._proof_age_ms() < FRESH_PROOF_MS
+    def _is_request_due(self) -> bool:
+        is_fresh = self._proof_age_ms() < MAX_FRESH_PROOF_AGE_MS
         return not (is_fresh and self._is_reader())
 
     def _is_read_due(self) -> bool:
-        is_fresh = self._proof_age_ms() < FRESH_PROOF_MS
+        is_fresh = self._proof_age_ms() < MAX_FRESH_PROOF_AGE_MS
         return self._is_reader() or not is_fresh
 
     def _is_reader(self) -> bool:
@@ -262,7 +264,7 @@
         asked_ms = self._clock.now_ms()
         row = await table.read(VERSION_KEY)
         if row is None:
-            self._why = 'no version is published'
+            self._last_failure = 'no version is published'
             return
         newest = decode_record(row.body, VersionRow)
         if newest.version < held_version:
@@ -273,7 +275,7 @@
             )
         if newest.version > self.version:
             await self._fetch(newest)
-        self._prove(asked_ms)
+        self._record_proof(asked_ms)
 
     async def _fetch(self, newest: VersionRow) -> None:
         if self._archive is None:
@@ -297,9 +299,9 @@
             return
         if not (outage_lease_ms or self._is_reader()):
             return
-        if self._clock.now_ms() < self._register_after_ms:
+        if self._clock.now_ms() < self._next_registration_ms:
             return
-        self._register_after_ms = self._clock.now_ms() + REGISTER_INTERVAL_MS
+        self._next_registration_ms = self._clock.now_ms() + REGISTER_INTERVAL_MS
         version = self.version
         try:
             await registration.record(version, outage_lease_ms)
@@ -314,15 +316,15 @@
         if version == self.version:
             self.lease.register(self._clock.now_ms(), outage_lease_ms)
 
-    def _ask(self, peer: str) -> None:
+    def _send_request(self, peer: str) -> None:
         nonce = self._requests.add(self._clock.now_ms())
         self._transport.send(peer, ConfigRequest(self.version, nonce))
 
-    def _answer(self, peer: str, version: int, nonce: int) -> None:
+    def _send_notice(self, peer: str, version: int, nonce: int) -> None:
         now_ms = self._clock.now_ms()
-        self._relay.watch(peer)
+        self._relay.add_watcher(peer)
         if version > self.version:
-            self._ask(peer)
+            self._send_request(peer)
         proof_age_ms = -1.0
         if self.version and self.lease.remaining_ms(now_ms) > 0:
             proof_age_ms = max(now_ms - self.lease.proven_ms, 0)
@@ -338,21 +340,21 @@
 
     def _on_notice(self, peer: str, notice: ConfigNotice) -> None:
         if notice.document and notice.version > self.version:
-            self._take_bundle(peer, notice.document)
+            self._apply_bundle(peer, notice.document)
         sent_ms = self._requests.sent_ms(notice.nonce)
         if notice.version > self.version:
             if sent_ms is None:
-                self._ask(peer)
+                self._send_request(peer)
             return
         if sent_ms is not None and notice.proof_age_ms >= 0 and notice.version:
-            self._prove(sent_ms - notice.proof_age_ms)
-            if self._proof_age_ms() < FRESH_PROOF_MS:
+            self._record_proof(sent_ms - notice.proof_age_ms)
+            if self._proof_age_ms() < MAX_FRESH_PROOF_AGE_MS:
                 self._sources.record_answer()
 
-    def _take_bundle(self, peer: str, document: bytes) -> None:
+    def _apply_bundle(self, peer: str, document: bytes) -> None:
         try:
             bundle = decode_record(document, Bundle)
-            state, publications = follow_bundle(self._state, bundle)
+            state, publications = apply_bundle(self._state, bundle)
         except BergamotError as error:
             logging.warning('bundle from %s discarded: %s', peer, error)
             return
@@ -372,14 +374,14 @@
             state.object_set,
         )
         self._state = state
-        self.lease.forget_registration()
+        self.lease.clear_registration()
         logging.info(
             'version %d in force, previously %d', state.version, old_version
         )
-        self._relay.adopt(state, publications)
+        self._relay.set_version(state, publications)
 
-    def _prove(self, moment_ms: float) -> None:
-        self.lease.prove(moment_ms)
+    def _record_proof(self, proof_ms: float) -> None:
+        self.lease.record_proof(proof_ms)
         self._proof.set()
 
     def _proof_age_ms(self) -> float:
--- a/bergamotthread/version/lease.py
+++ b/bergamotthread/version/lease.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 VERSION_LEASE_MS = 3000
-CLOCK_DRIFT = 0.01
+CLOCK_DRIFT_RATIO = 0.01
 
 
 @dataclass
@@ -33,16 +33,16 @@
     registered_ms: float = math.inf
     outage_lease_ms: float = 0
 
-    def prove(self, moment_ms: float) -> None:
+    def record_proof(self, proof_ms: float) -> None:
         """Record a proof; ignored if a later one is known."""
-        self.proven_ms = max(self.proven_ms, moment_ms)
+        self.proven_ms = max(self.proven_ms, proof_ms)
 
     def register(self, now_ms: float, outage_lease_ms: float) -> None:
         """Record that the version in force is registered as of `now_ms`."""
         self.registered_ms = now_ms
         self.outage_lease_ms = outage_lease_ms
 
-    def forget_registration(self) -> None:
+    def clear_registration(self) -> None:
         """Record that the version in force is not registered."""
         self.registered_ms = math.inf
 
@@ -57,9 +57,9 @@
         return self.proven_ms + self.length_ms() - now_ms
 
 
-def lapse_ms(lease_ms: float) -> float:
+def lease_expiry_ms(lease_ms: float) -> float:
     """Return the time after which another process's lease has expired.
 
     The rates of two processes' clocks may differ by `CLOCK_DRIFT`.
     """
-    return max(lease_ms, VERSION_LEASE_MS) * (1 + CLOCK_DRIFT)
+    return max(lease_ms, VERSION_LEASE_MS) * (1 + CLOCK_DRIFT_RATIO)
--- a/bergamotthread/version/publication.py
+++ b/bergamotthread/version/publication.py
@@ -22,9 +22,9 @@
 from bergamotthread.version.objects import ObjectSet
 from bergamotthread.version.publication_write import PublicationWrite
 from bergamotthread.version.record import (
-    INLINE_BYTES,
-    SNAPSHOT_INTERVAL,
-    TAIL_BYTES,
+    MAX_INLINE_BYTES,
+    MAX_TAIL_BYTES,
+    SNAPSHOT_INTERVAL_VERSIONS,
     VERSION_KEY,
     Publication,
     Snapshot,
@@ -39,7 +39,7 @@
 )
 
 PUBLICATION_ID_BYTES = 12
-BACKOFF_MS = 100
+INITIAL_BACKOFF_MS = 100
 MAX_BACKOFF_MS = 2000
 MAX_SHOWN_OBJECTS = 4
 MAX_SHOWN_PUBLICATIONS = 5
@@ -130,7 +130,7 @@
 
     async def newest(self) -> NewestVersion:
         """Read the newest version."""
-        return await self._newest_after(VersionState())
+        return await self._read_newest(VersionState())
 
     async def publish(self, draft: Draft) -> NewestVersion:
         """Check a draft as a whole and publish it as the next version.
@@ -154,7 +154,7 @@
         newest = await self.newest()
         attempt = 0
         while True:
-            draft = await self._rebased(draft, newest)
+            draft = await self._rebase_if_needed(draft, newest)
             changes = diff_sets(newest.state.object_set, draft.object_set)
             if newest.row is not None and _is_empty(changes, newest.state):
                 return newest
@@ -163,7 +163,7 @@
                 return written
             attempt += 1
             await self._back_off(attempt)
-            newest = await self._newest_after(newest.state)
+            newest = await self._read_newest(newest.state)
 
     async def rollback(
         self,
@@ -182,18 +182,20 @@
 
     async def _back_off(self, attempt: int) -> None:
         """Wait a random time, so that concurrent publishers rarely collide."""
-        max_pause_ms = min(BACKOFF_MS * 2**attempt, MAX_BACKOFF_MS)
+        max_pause_ms = min(INITIAL_BACKOFF_MS * 2**attempt, MAX_BACKOFF_MS)
         await self.clock.sleep_ms(self.rng.random() * max_pause_ms)
 
-    async def _newest_after(self, held: VersionState) -> NewestVersion:
+    async def _read_newest(self, start_state: VersionState) -> NewestVersion:
         row = await self.table.read(VERSION_KEY)
         if row is None:
             return NewestVersion(None, 0, VersionState())
         version_row = decode_record(row.body, VersionRow)
-        state = await self.archive.newest(version_row, held)
+        state = await self.archive.newest(version_row, start_state)
         return NewestVersion(version_row, row.revision, state)
 
-    async def _rebased(self, draft: Draft, newest: NewestVersion) -> Draft:
+    async def _rebase_if_needed(
+        self, draft: Draft, newest: NewestVersion
+    ) -> Draft:
         if draft.base == newest.state.version:
             return draft
         if newest.row is None or draft.base > newest.state.version:
@@ -215,8 +217,8 @@
         newest: NewestVersion,
     ) -> NewestVersion | None:
         """Write one publication; return None if another one came first."""
-        publication = self._publication(draft, changes, newest.state)
-        state = newest.state.follow(publication)
+        publication = self._build_publication(draft, changes, newest.state)
+        state = newest.state.apply(publication)
         row = await self._put_objects(publication, state, newest.row)
         write = PublicationWrite(
             self.table,
@@ -228,7 +230,7 @@
         revision = await write.run()
         return None if revision is None else NewestVersion(row, revision, state)
 
-    def _publication(
+    def _build_publication(
         self,
         draft: Draft,
         changes: ChangeSet,
@@ -259,13 +261,13 @@
 
         They have no effect until the row is written.
         """
-        tail = await self._tail_after(publication, before)
+        tail = await self._build_tail(publication, before)
         name = tail_name(publication.publication_id)
         await self.archive.store.put(name, encode_record(tail))
         snapshot, snapshot_version = tail.snapshot, tail.snapshot_version
         if (
             not snapshot
-            or state.version - snapshot_version >= SNAPSHOT_INTERVAL
+            or state.version - snapshot_version >= SNAPSHOT_INTERVAL_VERSIONS
         ):
             snapshot, snapshot_version = await self._put_snapshot(state)
         recent = before.recent if before else ()
@@ -275,13 +277,13 @@
             digest=state.digest,
             who=publication.who,
             published_ms=publication.published_ms,
-            recent=trim_publications((*recent, publication), INLINE_BYTES),
+            recent=trim_publications((*recent, publication), MAX_INLINE_BYTES),
             snapshot=snapshot,
             snapshot_version=snapshot_version,
             note=publication.note,
         )
 
-    async def _tail_after(
+    async def _build_tail(
         self,
         publication: Publication,
         before: VersionRow | None,
@@ -294,7 +296,7 @@
             for previous in earlier.publications
             if previous.version > before.snapshot_version
         )
-        remaining_bytes = TAIL_BYTES - len(encode_record(publication))
+        remaining_bytes = MAX_TAIL_BYTES - len(encode_record(publication))
         return Tail(
             (*trim_publications(since_snapshot, remaining_bytes), publication),
             before.snapshot,
--- a/bergamotthread/version/publication_write.py
+++ b/bergamotthread/version/publication_write.py
@@ -109,7 +109,7 @@
                 return await self._attempt(body)
             except StoreUnavailableError as error:
                 if self._clock.now_ms() >= deadline_ms:
-                    self._raise_final(error)
+                    self._give_up(error)
             await self._clock.sleep_ms(RETRY_INTERVAL_MS)
 
     async def _attempt(self, body: bytes) -> int | None:
@@ -125,11 +125,11 @@
             self._trigger('lose_answer')
             raise
         except StoreConflictError:
-            return await self._recognise()
+            return await self._resolve_conflict()
         self._trigger('confirm')
         return row.revision
 
-    async def _recognise(self) -> int | None:
+    async def _resolve_conflict(self) -> int | None:
         """Return the revision if the row's history has this publication."""
         found = await self._table.read(VERSION_KEY)
         if found is not None:
@@ -145,7 +145,7 @@
         self._trigger('overtake')
         return None
 
-    def _raise_final(self, error: StoreUnavailableError) -> None:
+    def _give_up(self, error: StoreUnavailableError) -> None:
         self._trigger('give_up')
         if self.state is WriteState.ABANDONED:
             raise error
--- a/bergamotthread/version/record.py
+++ b/bergamotthread/version/record.py
@@ -15,9 +15,9 @@
 VERSION_KEY = 'version/newest'
 PUBLICATION_PREFIX = 'version/publication/'
 SNAPSHOT_PREFIX = 'version/snapshot/'
-INLINE_BYTES = 2048
-TAIL_BYTES = 32_768
-SNAPSHOT_INTERVAL = 64
+MAX_INLINE_BYTES = 2048
+MAX_TAIL_BYTES = 32_768
+SNAPSHOT_INTERVAL_VERSIONS = 64
 
 
 class ChainError(BergamotError):
@@ -127,7 +127,7 @@
             snapshot.object_set,
         )
 
-    def follow(self, publication: Publication) -> VersionState:
+    def apply(self, publication: Publication) -> VersionState:
         """Return the state after the next publication.
 
         Raises
--- a/bergamotthread/version/registration.py
+++ b/bergamotthread/version/registration.py
@@ -62,7 +62,7 @@
         self._table = table
         self._place = place
         self._incarnation = incarnation
-        self._is_alone = False
+        self._has_removed_earlier = False
         self._generation = 0
         self._revision = 0
         self.recorded: HolderRow | None = None
@@ -84,9 +84,9 @@
             version,
             outage_lease_ms,
         )
-        if not self._is_alone:
+        if not self._has_removed_earlier:
             await self._remove_earlier()
-            self._is_alone = True
+            self._has_removed_earlier = True
         try:
             await self._write(holder)
         except StoreConflictError:
@@ -154,7 +154,7 @@
     return tuple(_stored_holder(row) for row in rows)
 
 
-async def forget_holders(table: Table, address: str) -> int:
+async def delete_holders(table: Table, address: str) -> int:
     """Delete the rows of processes that are permanently gone from an address.
 
     Returns
--- a/bergamotthread/version/relay.py
+++ b/bergamotthread/version/relay.py
@@ -19,7 +19,7 @@
 WATCHER_TIMEOUT_MS = 12_000
 MAX_WATCHERS = 512
 MAX_RECENT_PUBLICATIONS = 256
-_HEADROOM_BYTES = 1024
+_ENVELOPE_OVERHEAD_BYTES = 1024
 
 
 class VersionRelay:
@@ -31,17 +31,17 @@
         self._state = VersionState()
         self._recent: deque[Publication] = deque(maxlen=MAX_RECENT_PUBLICATIONS)
         self._snapshot = b''
-        self._watched_ms_by_address: dict[str, float] = {}
+        self._requested_ms_by_address: dict[str, float] = {}
 
-    def watch(self, peer: str) -> None:
+    def add_watcher(self, peer: str) -> None:
         """Send new versions to a peer that asked just now."""
-        self._watched_ms_by_address.pop(peer, None)
-        self._watched_ms_by_address[peer] = self._clock.now_ms()
-        if len(self._watched_ms_by_address) > MAX_WATCHERS:
-            oldest = next(iter(self._watched_ms_by_address))
-            self._watched_ms_by_address.pop(oldest)
+        self._requested_ms_by_address.pop(peer, None)
+        self._requested_ms_by_address[peer] = self._clock.now_ms()
+        if len(self._requested_ms_by_address) > MAX_WATCHERS:
+            oldest = next(iter(self._requested_ms_by_address))
+            self._requested_ms_by_address.pop(oldest)
 
-    def adopt(
+    def set_version(
         self,
         state: VersionState,
         publications: tuple[Publication, ...],
@@ -56,7 +56,7 @@
         old_version = self._state.version
         self._state = state
         self._snapshot = b''
-        self._remember(publications)
+        self._add_recent(publications)
         self._notify_watchers(old_version)
 
     def bundle_since(self, version: int) -> bytes:
@@ -74,10 +74,12 @@
         if version and publications and publications[0].version == version + 1:
             return encode_record(Bundle(publications))
         self._snapshot = self._snapshot or _encode_snapshot(self._state)
-        fits = len(self._snapshot) <= MAX_ENVELOPE_BYTES - _HEADROOM_BYTES
+        fits = (
+            len(self._snapshot) <= MAX_ENVELOPE_BYTES - _ENVELOPE_OVERHEAD_BYTES
+        )
         return self._snapshot if fits else b''
 
-    def _remember(self, publications: tuple[Publication, ...]) -> None:
+    def _add_recent(self, publications: tuple[Publication, ...]) -> None:
         for publication in publications:
             last = self._recent[-1].version if self._recent else 0
             if publication.version != last + 1:
@@ -90,12 +92,12 @@
         oldest_ms = self._clock.now_ms() - WATCHER_TIMEOUT_MS
         document = self.bundle_since(before) if before else b''
         notice = ConfigNotice(self._state.version, document)
-        for address, watched_ms in self._watched_ms_by_address.items():
+        for address, watched_ms in self._requested_ms_by_address.items():
             if watched_ms >= oldest_ms:
                 self._transport.send(address, notice)
 
 
-def follow_bundle(
+def apply_bundle(
     state: VersionState,
     bundle: Bundle,
 ) -> tuple[VersionState, tuple[Publication, ...]]:
@@ -114,7 +116,7 @@
         if publication.version > state.version + 1:
             break
         if publication.version > state.version:
-            state = state.follow(publication)
+            state = state.apply(publication)
             applied.append(publication)
     return state, tuple(applied)
 
--- a/bergamotthread/version/route_rules.py
+++ b/bergamotthread/version/route_rules.py
@@ -55,8 +55,8 @@
         yield from _check_fallback(index, path, route)
         yield from _check_capacity(capacity, path, route)
     yield from _check_fallback_cycles(index)
-    yield from _check_shadowed(index)
-    yield from _check_services_reached(index)
+    yield from _check_shadowed_routes(index)
+    yield from _check_services_have_routes(index)
 
 
 def _targets_of(upstream: Upstream) -> tuple[_Target, ...]:
@@ -161,7 +161,7 @@
     return chain
 
 
-def _check_shadowed(index: SetIndex) -> Iterator[Fault]:
+def _check_shadowed_routes(index: SetIndex) -> Iterator[Fault]:
     fallbacks = {route.fallback for route in index.object_set.routes}
     path_by_selector: dict[_Selector, str] = {}
     for position, route in enumerate(index.object_set.routes):
@@ -180,7 +180,7 @@
     return (route.service, route.model, teams, frozenset(route.regions))
 
 
-def _check_services_reached(index: SetIndex) -> Iterator[Fault]:
+def _check_services_have_routes(index: SetIndex) -> Iterator[Fault]:
     reached = {route.service for route in index.object_set.routes}
     for position, service in enumerate(index.object_set.services):
         if service.name not in reached:
--- a/bergamotthread/version/route_table.py
+++ b/bergamotthread/version/route_table.py
@@ -54,10 +54,10 @@
     services: tuple[WeightedService, ...]
     repeatability: Repeatability
     is_stream: bool
-    attempts_max: int
+    max_attempts: int
     timeout_ms: float
-    first_event_goal_ms: float
-    gap_goal_ms: float = 0
+    first_event_target_ms: float
+    gap_target_ms: float = 0
     priority: int = 0
     needs_key: bool = True
 
@@ -86,7 +86,7 @@
 
     name: str
     health_path: str
-    connections_max: int
+    max_connections: int
     engine: EngineTraits | None = None
 
 
--- a/bergamotthread/version/sources.py
+++ b/bergamotthread/version/sources.py
@@ -38,9 +38,9 @@
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._reader = _hash(address) % READERS_PER_GROUP
-        self._next_other = 0
-        self._unanswered = 0
+        self._reader_index = _hash(address) % READERS_PER_GROUP
+        self._next_other_index = 0
+        self._unanswered_rounds = 0
 
     def choose(self, peers: Iterable[str], *, max_fanout: int) -> list[str]:
         """Return the peers to ask now."""
@@ -48,24 +48,24 @@
         candidates = [address for address in ranked if address != self._address]
         if not candidates:
             return []
-        if self._unanswered:
-            self._reader += 1
+        if self._unanswered_rounds:
+            self._reader_index += 1
         readers = candidates[:READERS_PER_GROUP]
-        fanout = min(1 << self._unanswered, max_fanout)
-        self._unanswered = min(self._unanswered + 1, MAX_FANOUT)
+        fanout = min(1 << self._unanswered_rounds, max_fanout)
+        self._unanswered_rounds = min(self._unanswered_rounds + 1, MAX_FANOUT)
         others = self._choose_others(candidates[len(readers) :], fanout - 1)
-        return [readers[self._reader % len(readers)], *others]
+        return [readers[self._reader_index % len(readers)], *others]
 
     def record_answer(self) -> None:
         """Record that a peer sent a proof that is recent enough."""
-        self._unanswered = 0
+        self._unanswered_rounds = 0
 
     def _choose_others(self, candidates: list[str], count: int) -> list[str]:
         count = min(count, len(candidates))
         if not count:
             return []
-        first = self._next_other % len(candidates)
-        self._next_other += count
+        first = self._next_other_index % len(candidates)
+        self._next_other_index += count
         return (candidates * 2)[first : first + count]
 
 
--- a/tests/test_call_search.py
+++ b/tests/test_call_search.py
@@ -29,12 +29,12 @@
     Write,
 )
 from bergamotthread.request.call_events import (
-    Chosen,
+    AgentChosen,
     Event,
     Found,
     GaveUp,
     NeverSent,
-    NoneChosen,
+    NoAgentChosen,
     NoOutcome,
     NotWritten,
     Replied,
@@ -52,8 +52,8 @@
     Resolved,
     Sending,
     Unknown,
+    open_sending,
     resolve,
-    sending_of,
 )
 
 _Value = TypeVar('_Value')
@@ -170,9 +170,11 @@
     ) -> Iterator[World]:
         if not holder.progress.value.answered:
             abandoned = self.abandon(world, holder)
-            yield self.tell(abandoned, index, GaveUp(lapsed=True))
+            yield self.tell(abandoned, index, GaveUp(may_have_lost_lease=True))
             if _holds(world, index):
-                yield self.tell(abandoned, index, GaveUp(lapsed=False))
+                yield self.tell(
+                    abandoned, index, GaveUp(may_have_lost_lease=False)
+                )
         for changed, event in self.events(world, index, holder):
             yield self.tell(changed, index, event)
 
@@ -190,7 +192,7 @@
                 for lapsed in _possible_lapses(stored):
                     yield world, Found(stored, lapsed)
             case Choose():
-                yield world, NoneChosen()
+                yield world, NoAgentChosen()
                 yield self.choose(world, index)
             case Send(sending=sending) | Ask(sending=sending):
                 yield world, NoOutcome()
@@ -204,7 +206,7 @@
         owner = _CLAIMS[index].owner
         ticket = book.issue(owner)
         sending = Sending(owner, 'agent', agent.incarnation, ticket)
-        return _close_book(world, book), Chosen(sending)
+        return _close_book(world, book), AgentChosen(sending)
 
     def tell(self, world: World, index: int, event: Event) -> World:
         holder = world.holders[index]
@@ -308,7 +310,7 @@
 def _sendings(world: World) -> frozenset[Ref[Sending]]:
     """Return all sendings that have run or may run."""
     stored = world.stored.value
-    sending = sending_of(stored.row) if stored else None
+    sending = open_sending(stored.row) if stored else None
     return frozenset({*world.runs, *((Ref.to(sending),) if sending else ())})
 
 
@@ -389,9 +391,9 @@
                         current = Stored(row, expected + 1)
                         event = Written(current.revision)
                 case Read() | Poll():
-                    event = Found(current, lapsed=True)
+                    event = Found(current, is_lease_expired=True)
                 case Choose():
-                    event = Chosen(Sending('c', 'agent', 9, 1))
+                    event = AgentChosen(Sending('c', 'agent', 9, 1))
                 case Send() | Ask():
                     event = NoOutcome()
         if event is None:
@@ -438,17 +440,20 @@
 
 def _trusts_lost_answer(progress: Progress, event: Event, now_ms: int) -> Any:
     if progress.phase is Phase.DISPATCHING and event == NotWritten():
-        event = Written(progress.known.revision + 1)
+        event = Written(progress.last_stored.revision + 1)
     return advance(progress, event, now_ms)
 
 
 def _reclaims_dispatched(progress: Progress, event: Event, now_ms: int) -> Any:
     match event:
-        case Found(stored=Stored(row=CallRow(state=Dispatched())), lapsed=True):
+        case Found(
+            stored=Stored(row=CallRow(state=Dispatched())),
+            is_lease_expired=True,
+        ):
             if progress.phase is Phase.LOOKING:
                 refused = structs.replace(event.stored.row, state=Refused('x'))
                 stored = Stored(refused, event.stored.revision)
-                event = Found(stored, lapsed=True)
+                event = Found(stored, is_lease_expired=True)
     return advance(progress, event, now_ms)
 
 
--- a/tests/test_continuity_faults.py
+++ b/tests/test_continuity_faults.py
@@ -14,7 +14,7 @@
     GenerationDriver,
 )
 from bergamotthread.request.completion import CompletionRequest
-from bergamotthread.request.generation import Generation, Verdict
+from bergamotthread.request.generation import FrameVerdict, Generation
 from bergamotthread.request.refusal import Ran, ReasonCode, RefusedError
 from bergamotthread.testing.memory_network import MemoryNetwork
 from bergamotthread.testing.virtual_loop import run_virtual
@@ -436,9 +436,11 @@
     return True
 
 
-def _append_without_offset(self: Generation, frame: Frame) -> Verdict:
+def _append_without_offset(self: Generation, frame: Frame) -> FrameVerdict:
     self.tokens.extend(frame.tokens)
-    return Verdict.ACCEPTED if frame.end is None else self._finish(frame.end)
+    return (
+        FrameVerdict.ACCEPTED if frame.end is None else self._finish(frame.end)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -16,7 +16,7 @@
 from bergamotthread.version.lease import (
     VERSION_LEASE_MS,
     VersionLease,
-    lapse_ms,
+    lease_expiry_ms,
 )
 from bergamotthread.version.objects import ObjectSet, Team
 from bergamotthread.version.publication import Draft
@@ -86,7 +86,7 @@
 
 def _admitting(group: VersionGroup, region: str) -> list[bool]:
     return [
-        member.holder.may_admit() is None
+        member.holder.admission_refusal() is None
         for member in group.members_by_address.values()
         if member.region == region
     ]
@@ -140,7 +140,7 @@
         acceptance = await group.accept(await _publish(group, 2))
         assert acceptance.is_accepted
         group.resume(paused)
-        refusal = group.members_by_address[paused].holder.may_admit()
+        refusal = group.members_by_address[paused].holder.admission_refusal()
         assert refusal is not None
         assert (refusal.reason, refusal.ran) == (
             ReasonCode.NO_CONFIGURATION,
@@ -202,7 +202,7 @@
         joined = group.add('cuyo', '10.0.0.99:7000')
         await group.clock.sleep_ms(3000)
         assert joined.holder.version == 1
-        refusal = joined.holder.may_admit()
+        refusal = joined.holder.admission_refusal()
         assert refusal is not None
         assert 'platform is down' in refusal.detail
         await group.clock.sleep_ms(HOUR_MS)
@@ -220,7 +220,7 @@
         started_ms = group.clock.now_ms()
         late = await group.accept(version)
         assert late.is_accepted
-        assert group.clock.now_ms() - started_ms >= lapse_ms(30_000)
+        assert group.clock.now_ms() - started_ms >= lease_expiry_ms(30_000)
         keys = list(group.platform.rows_by_key)
         assert not any('10.0.0.1:7000' in key for key in keys)
 
@@ -246,10 +246,10 @@
         joined = group.add('cuyo', '10.0.0.99:7000')
         await group.clock.sleep_ms(1000)
         assert joined.holder.version == 2
-        assert joined.holder.may_admit() is None
+        assert joined.holder.admission_refusal() is None
         lonely = group.add('nowhere', '10.9.9.9:7000')
         await group.clock.sleep_ms(5000)
-        refusal = lonely.holder.may_admit()
+        refusal = lonely.holder.admission_refusal()
         assert refusal is not None
         assert 'platform is down' in refusal.detail
         group.platform.faults.down = False
@@ -268,7 +268,7 @@
             member = group.add('litoral', address, incarnation)
             await group.accept(version)
             assert member.holder.version == version
-            assert member.holder.may_admit() is None
+            assert member.holder.admission_refusal() is None
 
     assert not _run(_scenario).violations()
 
@@ -339,10 +339,10 @@
         await group.clock.sleep_ms(3000)
         group.platform.faults.down = True
         await group.clock.sleep_ms(outage_ms)
-        assert late.holder.may_admit() is not None
+        assert late.holder.admission_refusal() is not None
         group.platform.faults.down = False
         await group.clock.sleep_ms(10_000)
-        assert late.holder.may_admit() is None
+        assert late.holder.admission_refusal() is None
 
     _run(_scenario, count=1, sample_ms=1000)
 
@@ -404,7 +404,7 @@
         assert _versions(group) == {2}
         refusal = group.members_by_address[
             _address('cuyo', 0)
-        ].holder.may_admit()
+        ].holder.admission_refusal()
         assert refusal is not None
         assert 'older than 2' in refusal.detail
 
@@ -415,7 +415,7 @@
     async def _scenario(group: VersionGroup) -> None:
         member = group.members_by_address[_address('cuyo', 0)]
         await member.holder.close()
-        assert member.holder.may_admit() is not None
+        assert member.holder.admission_refusal() is not None
         prefix = f'{HOLDER_PREFIX}{member.address}'
         keys = list(group.platform.rows_by_key)
         assert not any(key.startswith(prefix) for key in keys)
@@ -425,7 +425,7 @@
 
 def test_fixed_holder_admits() -> None:
     holder = VersionHolder.from_object_set(_set(1), version=7)
-    assert holder.may_admit() is None
+    assert holder.admission_refusal() is None
     assert holder.admit().version == 7
 
 
@@ -455,15 +455,15 @@
 class _NoLease(VersionHolder):
     """Admits requests by any version that it received, without a lease."""
 
-    def may_admit(self):
-        return None if self.current else super().may_admit()
+    def admission_refusal(self):
+        return None if self.current else super().admission_refusal()
 
 
 class _LeaseFromAnswer(VersionHolder):
     """Counts the lease from the arrival of the answer."""
 
-    def _prove(self, moment_ms: float) -> None:
-        super()._prove(self._clock.now_ms())
+    def _record_proof(self, proof_ms: float) -> None:
+        super()._record_proof(self._clock.now_ms())
 
 
 class _LeaseWithoutProofAge(VersionHolder):
@@ -599,7 +599,7 @@
 
         late.table.write = _write_late
         await group.clock.sleep_ms(300)
-        assert late.holder.may_admit() is None
+        assert late.holder.admission_refusal() is None
         late.table.cut = True
         acceptance = await group.accept(await _publish(group, 2, HOUR_MS))
         assert acceptance.is_accepted
--- a/tests/test_drain_path.py
+++ b/tests/test_drain_path.py
@@ -170,7 +170,7 @@
     await load.finish()
     assert all(live.attempts == 2 for live in on_node)
     for live, offset in zip(on_node, offsets, strict=True):
-        assert live.resumed_at >= offset
+        assert live.resumed_offset >= offset
     decoded = sum(
         agent_node.engine.counts.decoded_tokens
         for agent_node in deployment.agents
--- a/tests/test_plain_call.py
+++ b/tests/test_plain_call.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from bergamotthread.request.call_request import CallAnswer, rule_of
+from bergamotthread.request.call_request import CallAnswer, find_rule
 from bergamotthread.request.refusal import (
     Ran,
     ReasonCode,
@@ -116,6 +116,6 @@
     issue = CallRule('POST', '/certificates', idempotent=False)
     check = CallRule('POST', '/certificates/check', idempotent=True)
     service = Service('portal', ServiceKind.PLAIN, calls=(issue, check))
-    assert rule_of(service, 'POST', '/certificates/7') is issue
-    assert rule_of(service, 'POST', '/certificates/check/7') is check
-    assert not rule_of(service, 'GET', '/certificates').idempotent
+    assert find_rule(service, 'POST', '/certificates/7') is issue
+    assert find_rule(service, 'POST', '/certificates/check/7') is check
+    assert not find_rule(service, 'GET', '/certificates').idempotent
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -26,8 +26,8 @@
 )
 from bergamotthread.version.publication_write import PublicationUnknownError
 from bergamotthread.version.record import (
-    INLINE_BYTES,
-    SNAPSHOT_INTERVAL,
+    MAX_INLINE_BYTES,
+    SNAPSHOT_INTERVAL_VERSIONS,
     VERSION_KEY,
     ChainError,
     VersionState,
@@ -309,7 +309,7 @@
 
 def test_every_earlier_version_can_be_read() -> None:
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
-        count = 2 * SNAPSHOT_INTERVAL + 3
+        count = 2 * SNAPSHOT_INTERVAL_VERSIONS + 3
         for version in range(count):
             draft = Draft(_set(a=version + 1), 'ana', version)
             newest = await publisher.publish(draft)
@@ -328,7 +328,7 @@
     """The store's rate limits may interrupt every read of a long history."""
 
     async def _scenario(publisher: Publisher, platform: MemoryPlatform) -> None:
-        for version in range(SNAPSHOT_INTERVAL + 30):
+        for version in range(SNAPSHOT_INTERVAL_VERSIONS + 30):
             note = 'long ' * 200
             draft = Draft(_set(a=version + 1), 'ana', version, note)
             newest = await publisher.publish(draft)
@@ -366,7 +366,7 @@
             draft = Draft(_set(a=version + 1), 'ana', version)
             await publisher.publish(draft)
         body = platform.rows_by_key[VERSION_KEY].body
-        assert len(body) < INLINE_BYTES + 500
+        assert len(body) < MAX_INLINE_BYTES + 500
 
     _run(_scenario)
 
@@ -378,7 +378,7 @@
         [publication] = newest.row.recent
         forged = msgspec.structs.replace(publication, who='eva')
         with pytest.raises(ChainError):
-            VersionState().follow(forged)
+            VersionState().apply(forged)
         stored = await publisher.archive.tail(publication.publication_id)
         assert stored.publications == (publication,)
 
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -17,7 +17,7 @@
     HOLDER_PREFIX,
     MAX_HOLDERS,
     Registration,
-    forget_holders,
+    delete_holders,
     read_holders,
 )
 
@@ -70,7 +70,7 @@
         registration = Registration(table, PLACE, 1)
         await registration.record(1, 0)
         [before] = await read_holders(table)
-        assert await forget_holders(table, PLACE.address) == 1
+        assert await delete_holders(table, PLACE.address) == 1
         await registration.record(2, 0)
         [after] = await read_holders(table)
         assert after.key != before.key
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -9,7 +9,7 @@
 from bergamotthread.cli.replay import replay, replay_trace
 from bergamotthread.errors import DecodeError
 from bergamotthread.request.completion import CompletionRequest
-from bergamotthread.request.generation import Generation, Verdict
+from bergamotthread.request.generation import FrameVerdict, Generation
 from bergamotthread.testing.memory_network import MemoryNetwork
 from bergamotthread.testing.virtual_loop import run_virtual
 from bergamotthread.wire.messages import Frame
@@ -33,9 +33,11 @@
     assert _replay(name) == (0, '')
 
 
-def _append_without_offset(self: Generation, frame: Frame) -> Verdict:
+def _append_without_offset(self: Generation, frame: Frame) -> FrameVerdict:
     self.tokens.extend(frame.tokens)
-    return Verdict.ACCEPTED if frame.end is None else self._finish(frame.end)
+    return (
+        FrameVerdict.ACCEPTED if frame.end is None else self._finish(frame.end)
+    )
 
 
 def test_another_decision_is_a_difference(
@@ -108,7 +110,7 @@
     fault(deployment, deployment.node_of(lives[0]))
     for live in lives:
         while not live.generation.is_over:
-            live.consumed = live.generation.offset
+            live.consumed_tokens = live.generation.offset
             await live.wait_change()
     await deployment.clock.sleep_ms(100)
     ends = {
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -43,7 +43,7 @@
                 node.engine.die()
         for live in lives:
             while not live.generation.is_over:
-                live.consumed = live.generation.offset
+                live.consumed_tokens = live.generation.offset
                 await live.wait_change()
             assert live.generation.refusal is None
             assert live.attempts <= 2
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -110,7 +110,7 @@
         platform.faults.down = True
         end_ms = clock.now_ms() + OUTAGE_MS
         while not live.generation.is_over and clock.now_ms() < end_ms:
-            live.consumed = live.generation.offset
+            live.consumed_tokens = live.generation.offset
             await live.wait_change()
         assert live.generation.offset > COUNT / 2
         assert live.attempts == 1
@@ -119,7 +119,7 @@
         assert refused.value.refusal.reason is ReasonCode.NO_CONFIGURATION
         platform.faults.down = False
         while not live.generation.is_over:
-            live.consumed = live.generation.offset
+            live.consumed_tokens = live.generation.offset
             await live.wait_change()
         verify_answer(PROMPT, ''.join(live.generation.tokens), COUNT)
         await entry.versions.wait_serving()
--- a/tests/test_version_lease_search.py
+++ b/tests/test_version_lease_search.py
@@ -17,10 +17,10 @@
 import pytest
 
 from bergamotthread.version.lease import (
-    CLOCK_DRIFT,
+    CLOCK_DRIFT_RATIO,
     VERSION_LEASE_MS,
     VersionLease,
-    lapse_ms,
+    lease_expiry_ms,
 )
 
 TICK_MS = VERSION_LEASE_MS // 2
@@ -109,15 +109,16 @@
         return
     # All clocks of the search run at one rate, so the margin for drift in
     # `lapse_ms` is cancelled here.
-    waited_ms = (world.now - world.written) * TICK_MS * (1 + CLOCK_DRIFT)
+    waited_ms = (world.now - world.written) * TICK_MS * (1 + CLOCK_DRIFT_RATIO)
     rows_waited_for = [
         holder.row
         for holder in world.holders
-        if 0 < holder.row < NEW and waited_ms < lapse_ms(rules.outage_lease_ms)
+        if 0 < holder.row < NEW
+        and waited_ms < lease_expiry_ms(rules.outage_lease_ms)
     ]
     if world.accepted:
         return
-    is_lapsed = waited_ms >= lapse_ms(0)
+    is_lapsed = waited_ms >= lease_expiry_ms(0)
     if is_lapsed and (rules.ignores_rows or not rows_waited_for):
         yield world._replace(accepted=True)
 
