--- a/bergamotthread/process/relay/choice.py
+++ b/bergamotthread/process/relay/choice.py
@@ -65,7 +65,7 @@
     affinity
         Key of the prompt. All entries rank the upstreams for a key alike, so
         the upstreams that it prefers are likely to cache the prompt.
-    is_return
+    is_reconnect
         Whether the caller reconnects, so that an upstream may cache its
         prompt.
     """
--- a/bergamotthread/process/relay/relay_metrics.py
+++ b/bergamotthread/process/relay/relay_metrics.py
@@ -26,7 +26,7 @@
         Attempts, by outcome.
     answer_ms
         Time to the complete response; streams are not counted.
-    first_event_ms, pause_ms
+    first_event_ms, longest_pause_ms
         Time to the first event of a stream and longest pause between its
         events.
     """
@@ -68,7 +68,7 @@
                 'relay_first_event_ms',
                 'Time to the first event of a stream.',
             ),
-            pause_ms=registry.percentiles(
+            longest_pause_ms=registry.percentiles(
                 'relay_longest_pause_ms',
                 'Longest pause between two events of a stream.',
             ),
--- a/bergamotthread/process/relay/repeat_budget.py
+++ b/bergamotthread/process/relay/repeat_budget.py
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    entries
+    count_entries
         Returns the number of entries that share the slack.
     """
 
--- a/bergamotthread/process/relay/servers.py
+++ b/bergamotthread/process/relay/servers.py
@@ -97,8 +97,8 @@
 
     Parameters
     ----------
-    answer_by_path
-        Returns the status code and the text of each path.
+    source_by_path
+        Functions that return the status code and the text of a path.
     """
 
     clock: Clock
--- a/bergamotthread/process/relay/upstreams.py
+++ b/bergamotthread/process/relay/upstreams.py
@@ -14,8 +14,8 @@
 # store row of an upstream that has ended expires within three intervals of
 # 1.2 s, so by then only live upstreams are listed.
 LOST_RETRY_MS = 4000
-# With this many losses in one failure domain within `DOMAIN_LOSS_MS`, the other
-# upstreams of the domain are suspected until they send something.
+# With this many losses in one failure domain within `DOMAIN_LOSS_WINDOW_MS`,
+# the other upstreams of the domain are suspected until they send something.
 DOMAIN_LOSSES_MIN = 2
 DOMAIN_LOSS_WINDOW_MS = 1500
 # Weight of the newest outcome in the average of failures.
@@ -39,7 +39,7 @@
     ----------
     instance
         Identifier of this incarnation of the upstream.
-    born_ms
+    started_ms
         Calendar time of its start; 0 if unknown.
     """
 
--- a/bergamotthread/request/relay/attempt_loop.py
+++ b/bergamotthread/request/relay/attempt_loop.py
@@ -39,9 +39,9 @@
         return self.attempts_sent < self.call.route.max_attempts
 
     def spend_attempt(self) -> bool:
-        """Return whether the next attempt is the first or within the budget.
+        """Return whether the retry budget allows the next attempt.
 
-        A retry that is allowed is counted in the budget.
+        A retry that is allowed is counted; a first attempt is always allowed.
         """
         if not self.attempts_sent:
             return True
--- a/bergamotthread/request/relay/copies.py
+++ b/bergamotthread/request/relay/copies.py
@@ -2,7 +2,8 @@
 
 An upstream sends its growing KV cache to the copy holder that the request
 names. If that holder is lost, the entry has the cache copied to another one,
-and again every `RECOPY_MS`, since holders drop a copy that is not renewed.
+and again every `RECOPY_INTERVAL_MS`, since holders drop a copy that is not
+renewed.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
     def start_attempt(
         self, upstream: Upstream, copy_target: Upstream | None
     ) -> None:
-        """Start an attempt, whose upstream sends a copy to `target`."""
+        """Start an attempt, whose upstream copies to `copy_target`."""
         self.cancel()
         self._upstream = upstream
         self._copy = None
@@ -74,7 +75,7 @@
 
         Parameters
         ----------
-        work
+        make_request
             Returns what the run requires of a holder; called only if a copy is
             due.
         """
--- a/bergamotthread/request/relay/pace.py
+++ b/bergamotthread/request/relay/pace.py
@@ -11,9 +11,9 @@
 
     Parameters
     ----------
-    sent_ms
+    started_ms
         Monotonic time at which the wait for the first event began.
-    parts
+    count
         Number of parts or events that arrived.
     first_ms, longest_gap_ms
         Time to the first event and the longest gap between two events.
--- a/bergamotthread/request/relay/placement.py
+++ b/bergamotthread/request/relay/placement.py
@@ -20,7 +20,7 @@
     ----------
     copy
         Copy from which the attempt resumes, held by `upstream`.
-    target
+    copy_target
         Upstream to which the KV cache of the attempt is copied.
     """
 
--- a/bergamotthread/request/relay/plain_relay.py
+++ b/bergamotthread/request/relay/plain_relay.py
@@ -60,10 +60,10 @@
 
     async def place(self) -> Upstream | None:
         """Return the upstream of the next attempt, or None if none for now."""
-        work = RelayPlacementRequest(
+        request = RelayPlacementRequest(
             self._call.service.name, excluded=self._excluded
         )
-        upstream = self._parts.choice.choose(work)
+        upstream = self._parts.choice.choose(request)
         if upstream is None and self._excluded:
             self._excluded = frozenset()
         return upstream
--- a/tests/test_relay_decisions.py
+++ b/tests/test_relay_decisions.py
@@ -68,7 +68,7 @@
     fields = {
         'address': f'10.0.0.1:{1000 + hash(instance) % 9000}',
         'state': UpstreamState.READY,
-        'born_ms': 1,
+        'started_ms': 1,
         **more,
     }
     return UpstreamRecord(instance, service, failure_domain=domain, **fields)
@@ -92,22 +92,22 @@
     """A late record of an ended incarnation must not bring it back."""
     manual_clock = ManualClock()
     directory = UpstreamDirectory(manual_clock.clock())
-    directory.update(_record('old', address='10.0.0.1:80', born_ms=5))
+    directory.update(_record('old', address='10.0.0.1:80', started_ms=5))
     replaced = directory.update(
-        _record('new', address='10.0.0.1:80', born_ms=9),
+        _record('new', address='10.0.0.1:80', started_ms=9),
     )
     assert replaced is not None
     assert replaced.record.instance == 'old'
     assert directory.instances() == {'new'}
-    directory.update(_record('old', address='10.0.0.1:80', born_ms=5))
+    directory.update(_record('old', address='10.0.0.1:80', started_ms=5))
     assert directory.instances() == {'new'}
 
 
 def test_same_instance_with_another_start_time_is_a_new_upstream():
     directory = UpstreamDirectory(ManualClock().clock())
-    directory.update(_record('u', address='10.0.0.1:80', born_ms=5))
+    directory.update(_record('u', address='10.0.0.1:80', started_ms=5))
     before = directory.get('u')
-    directory.update(_record('u', address='10.0.0.1:80', born_ms=7))
+    directory.update(_record('u', address='10.0.0.1:80', started_ms=7))
     assert directory.get('u') is not before
 
 
@@ -146,11 +146,11 @@
     for instance in ('u0', 'u2'):
         directory.record_lost(directory.get(instance))
     choice = _choice(directory)
-    work = RelayPlacementRequest('s', prompt_tokens=8000)
+    request = RelayPlacementRequest('s', prompt_tokens=8000)
     domains = {
         upstream.record.failure_domain
         for _ in range(50)
-        for upstream in choice.draw_candidates(work)
+        for upstream in choice.draw_candidates(request)
     }
     assert domains == {'b-1'}
 
@@ -223,13 +223,13 @@
 
 
 def test_two_entries_draw_the_same_candidates_for_a_prompt():
-    work = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'part')
+    request = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'part')
     drawn = [
         [
             upstream.record.instance
             for upstream in _choice(
                 _directory(ManualClock(), count=20)
-            ).draw_candidates(work)
+            ).draw_candidates(request)
         ]
         for _ in range(2)
     ]
@@ -255,14 +255,14 @@
 def test_prompts_stay_in_the_region_until_its_upstreams_are_busy():
     directory = _directory(ManualClock(), count=18)
     choice = _choice(directory)
-    work = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'part')
-    drawn = choice.draw_candidates(work)
+    request = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'part')
+    drawn = choice.draw_candidates(request)
     domains = [upstream.record.failure_domain for upstream in drawn]
     assert domains == ['a-1', 'a-1', 'a-1', 'b-1']
-    assert choice.cost_ms(drawn[0], work) < choice.cost_ms(drawn[3], work)
+    assert choice.cost_ms(drawn[0], request) < choice.cost_ms(drawn[3], request)
     for local in drawn[:3]:
         local.prefill_tokens = 16_000
-    costs = [choice.cost_ms(upstream, work) for upstream in drawn]
+    costs = [choice.cost_ms(upstream, request) for upstream in drawn]
     assert costs.index(min(costs)) == 3
 
 
@@ -287,7 +287,7 @@
 
 def test_reconnect_has_the_same_candidates_in_every_region():
     """The caller may reconnect through another region than before."""
-    work = RelayPlacementRequest(
+    request = RelayPlacementRequest(
         's', prompt_tokens=8000, affinity=b'part', is_reconnect=True
     )
     drawn = []
@@ -297,7 +297,7 @@
         drawn.append(
             [
                 upstream.record.instance
-                for upstream in choice.draw_candidates(work)
+                for upstream in choice.draw_candidates(request)
             ],
         )
     assert drawn[0] == drawn[1]
@@ -308,10 +308,10 @@
     """Requests that all have one affinity key must spread over upstreams."""
     directory = _directory(ManualClock(), count=18)
     choice = _choice(directory)
-    work = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'hot')
+    request = RelayPlacementRequest('s', prompt_tokens=8000, affinity=b'hot')
     taken = []
     for _ in range(12):
-        drawn = choice.draw_candidates(work)
+        drawn = choice.draw_candidates(request)
         ranks = {
             upstream.record.instance: rank
             for rank, upstream in enumerate(drawn)
@@ -319,8 +319,8 @@
         chosen = min(
             drawn,
             key=lambda upstream: (
-                choice.cost_ms(upstream, work)
-                + choice.rank_cost_ms(ranks[upstream.record.instance], work)
+                choice.cost_ms(upstream, request)
+                + choice.rank_cost_ms(ranks[upstream.record.instance], request)
             ),
         )
         chosen.prefill_tokens += 8000
@@ -360,12 +360,12 @@
     """
     directory = _directory(ManualClock(), count=4, domains=('a-1',))
     choice = _choice(directory)
-    work = RelayPlacementRequest('s', prompt_tokens=8000)
+    request = RelayPlacementRequest('s', prompt_tokens=8000)
     for number in range(4):
         directory.get(f'u{number}').report = _report(0)
     taken = []
     for _ in range(4):
-        upstream = choice.choose(work)
+        upstream = choice.choose(request)
         upstream.prefill_tokens += 8000
         upstream.sent_since_report += 8000
         upstream.in_flight += 1
@@ -430,7 +430,7 @@
     for entry, kind, pause_ms in steps:
         manual_clock.now_ms += pause_ms
         if kind == 'first':
-            budgets[entry].record_first('s')
+            budgets[entry].record_first_attempt('s')
             firsts.append(manual_clock.now_ms)
         elif budgets[entry].spend('s'):
             retries.append(manual_clock.now_ms)
