--- a/bergamotthread/connection/http/caller_connection.py
+++ b/bergamotthread/connection/http/caller_connection.py
@@ -28,7 +28,7 @@
 _MS_PER_S = 1000
 # Requests queued on one connection before it is no longer read.
 QUEUED_REQUESTS_MAX = 16
-# Bytes buffered for a slow caller before `Exchange.writable` waits.
+# Bytes buffered for a slow caller before `Exchange.wait_writable` waits.
 _WRITE_BUFFER_BYTES = 65_536
 
 
@@ -189,12 +189,12 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Make `writable` wait until the write buffer has drained."""
+        """Make `wait_writable` wait until the write buffer has drained."""
         if self._writable_waiter is None:
             self._writable_waiter = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Wake whoever waits in `writable`."""
+        """Wake whoever waits in `wait_writable`."""
         waiter = self._writable_waiter
         self._writable_waiter = None
         if waiter is not None and not waiter.done():
--- a/bergamotthread/connection/service_client.py
+++ b/bergamotthread/connection/service_client.py
@@ -51,7 +51,7 @@
 
         Raises
         ------
-        ServiceNotReachedError
+        ServiceUnreachableError
             If no byte of the call reached the service.
         ServiceLostError
             If no complete answer arrives; the call may have run.
--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -39,7 +39,7 @@
     ----------
     version
         Version of the store up to which the changes are complete.
-    oldest
+    kept_after_version
         Version after which the changes are kept.
     confirmed_ms
         Boot clock time, which includes suspension, up to which all writes are
--- a/bergamotthread/platform/store.py
+++ b/bergamotthread/platform/store.py
@@ -132,7 +132,7 @@
 
     Parameters
     ----------
-    calls
+    call_count
         Number of calls to the store so far.
     """
 
@@ -190,7 +190,7 @@
 
         Raises
         ------
-        NotAsExpectedError
+        PreconditionFailedError
             If the row has another version; nothing was written.
         StoreCallError
             If the store did not answer; the change may have taken effect.
@@ -209,7 +209,7 @@
 
         Raises
         ------
-        NotAsExpectedError
+        PreconditionFailedError
             If the name is taken.
         StoreCallError
             If the store did not answer; the object may be stored.
--- a/bergamotthread/platform/tables.py
+++ b/bergamotthread/platform/tables.py
@@ -149,7 +149,7 @@
 
 @contextmanager
 def _translate_errors() -> Iterator[None]:
-    """Translate errors of `StoreCalls` to those of the product's interfaces."""
+    """Translate errors of the client to those that the interfaces declare."""
     try:
         yield
     except PreconditionFailedError as error:
