--- a/bergamotthread/process/membership/member_table.py
+++ b/bergamotthread/process/membership/member_table.py
@@ -54,7 +54,7 @@
     ----------
     own
         Record of the process itself.
-    suspicion_ms
+    suspicion_timeout_ms
         Time from suspicion to removal, in milliseconds.
     """
 
--- a/bergamotthread/process/membership/prober.py
+++ b/bergamotthread/process/membership/prober.py
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    source
+    rng
         Source of randomness for the order.
     """
 
--- a/bergamotthread/process/overload/fair_queue.py
+++ b/bergamotthread/process/overload/fair_queue.py
@@ -84,7 +84,7 @@
         )
 
     def push(self, queued: QueuedDispatch) -> None:
-        """Add a dispatch that `place` returned."""
+        """Add a dispatch that `prepare` returned."""
         self._order += 1
         bisect.insort(self._waiting, queued, key=_rank)
         if queued.has_priority:
--- a/bergamotthread/process/overload/retry_budget.py
+++ b/bergamotthread/process/overload/retry_budget.py
@@ -139,8 +139,8 @@
             Name of the team.
         resume
             Whether the retry resumes a generation after a loss. Other retries,
-            such as after a decline, must leave the fraction `RESUME_RESERVE`
-            of both budgets to those that resume.
+            such as after a decline, must leave `RESUME_RESERVE_FRACTION` of
+            both budgets to those that resume.
         """
         bucket = self._bucket(team)
         for budget, name in (
--- a/bergamotthread/process/overload/retry_credit.py
+++ b/bergamotthread/process/overload/retry_credit.py
@@ -7,11 +7,11 @@
 
 @dataclass
 class RetryCredit:
-    """Retries that may be sent; each first attempt earns `share` of one.
+    """Retries that may be sent; a first attempt earns `retry_ratio` of one.
 
     Parameters
     ----------
-    share
+    retry_ratio
         Retries allowed per first attempt in the long run.
     capacity
         Maximum credit, which limits a burst of retries.
--- a/bergamotthread/process/routing/availability.py
+++ b/bergamotthread/process/routing/availability.py
@@ -45,7 +45,7 @@
         self._lost_ms_by_agent[agent] = self.clock.now_ms()
 
     def avoided_domains(self, losses_max: int) -> frozenset[str]:
-        """Return failure domains with more than `tolerated` recent losses."""
+        """Return failure domains with more than `losses_max` recent losses."""
         since_ms = self.clock.now_ms() - DOMAIN_AVOIDANCE_MS
         self._lost_ms_by_agent = {
             agent: lost_ms
--- a/bergamotthread/process/routing/placement.py
+++ b/bergamotthread/process/routing/placement.py
@@ -27,7 +27,7 @@
         Whether upstreams outside the own region may be used.
     regions
         Regions that may be used; empty for all.
-    apart_from
+    avoid_domain_of
         Agent whose failure domain is avoided where others are left; empty for
         none.
     """
--- a/bergamotthread/process/routing/routing.py
+++ b/bergamotthread/process/routing/routing.py
@@ -105,8 +105,8 @@
 
     def choose(self, request: PlacementRequest) -> str:
         """Return the candidate with the lowest score."""
-        tolerated = 0 if request.resume else 1
-        avoided = self._availability.avoided_domains(tolerated)
+        losses_max = 0 if request.resume else 1
+        avoided = self._availability.avoided_domains(losses_max)
         if request.avoid_domain_of:
             avoided |= {self.failure_domain(request.avoid_domain_of)}
         candidates = self._candidates(request, avoided)
--- a/bergamotthread/process/routing/standby.py
+++ b/bergamotthread/process/routing/standby.py
@@ -58,7 +58,7 @@
             live.placement_request,
             accepted_tokens=live.generation.offset,
             excluded=live.excluded | {current},
-            apart_from=current,
+            avoid_domain_of=current,
         )
         try:
             standby = live.standby or self._placement.choose(request)
--- a/bergamotthread/process/shares/rate_share.py
+++ b/bergamotthread/process/shares/rate_share.py
@@ -24,7 +24,7 @@
         Tokens added each second.
     burst_s
         Size of the bucket, as seconds of its rate.
-    reserved
+    reserved_fraction
         Fraction of the bucket, 0 to 1, that only preferred accesses may use.
     """
 
@@ -45,7 +45,7 @@
         return max(2, self.per_s * self.burst_s)
 
     async def acquire(self, *, preferred: bool, timeout_ms: float) -> bool:
-        """Wait up to `limit_ms` for a token; return whether it was granted."""
+        """Wait for a token for up to `timeout_ms`; return False on timeout."""
         self._refill()
         reserve_tokens = (
             float(0) if preferred else self.capacity * self.reserved_fraction
--- a/bergamotthread/process/shares/share_home.py
+++ b/bergamotthread/process/shares/share_home.py
@@ -44,10 +44,10 @@
     """Leases that this entry has granted for the teams it is the home of.
 
     The sum of the leases that it grants for a team never exceeds the team's
-    pool. A lease that isn't renewed stays counted for `HOLD_MS`, which is ten
-    seconds longer than it is valid, since views of the membership may differ
-    for that long. For its first `HOLD_MS` a new home only renews what entries
-    report to hold.
+    pool. A lease that isn't renewed stays counted for `LEASE_HOLD_MS`, which is
+    ten seconds longer than it is valid, since views of the membership may
+    differ for that long. For its first `LEASE_HOLD_MS` a new home only renews
+    what entries report to hold.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
         self._home_by_team.clear()
 
     def record_suspected(self, now_ms: float) -> None:
-        """Only renew for `HOLD_MS`, since others may have taken over."""
+        """Only renew for `LEASE_HOLD_MS`; others may have taken over."""
         self._started_ms = now_ms
         for leases in self._leases_by_team.values():
             leases.renewal_only_until_ms = now_ms + LEASE_HOLD_MS
--- a/bergamotthread/process/shares/share_usage.py
+++ b/bergamotthread/process/shares/share_usage.py
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    limit
+    limit_name
         Name of the limit.
     allowed
         Part of the limit that this entry may use now.
@@ -50,9 +50,9 @@
 class ShareUsage:
     """Token bucket and running requests of one team at one entry.
 
-    Each entry may always use an equal part of `floor_share`, its floor; the
-    rest of the limits is leased. The bucket holds the requests of one second,
-    and at least four.
+    Each entry may always use an equal part of `floor_fraction`, its floor;
+    the rest of the limits is leased. The bucket holds the requests of one
+    second, and at least four.
 
     Parameters
     ----------
--- a/bergamotthread/process/shares/shares.py
+++ b/bergamotthread/process/shares/shares.py
@@ -318,8 +318,8 @@
         return Refusal(
             reason=ReasonCode.OVER_LIMIT,
             detail=(
-                f'team {team.name} is over its {shortage.limit_name} of {limit}; '
-                f'{shortage.allowed:.3g} are leased to this entry'
+                f'team {team.name} is over its {shortage.limit_name}'
+                f' of {limit}; {shortage.allowed:.3g} are leased to this entry'
             ),
             step=Step.ADMIT,
             ran=Ran.NOT_RUN,
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -188,7 +188,7 @@
     old.tick()
     await bench.clock.sleep_ms(1000)
     assert bench.executed() == before
-    assert not bench.leases[0].valid()
+    assert not bench.leases[0].is_valid()
 
 
 @pytest.mark.parametrize('holder_checks', [True, False])
@@ -245,10 +245,10 @@
     bench = _Bench(('a',), WeightStoreRate())
     bench.publish(ONE)
     await bench.run(20_000, 0)
-    assert bench.leases[0].valid()
+    assert bench.leases[0].is_valid()
     reply = OrderReply('x', 7, accepted=False)
     bench.orders[0].on_message(Envelope('a', 1, reply))
-    assert not bench.leases[0].valid()
+    assert not bench.leases[0].is_valid()
 
 
 def test_reply_with_a_newer_fence_ends_the_term() -> None:
