--- a/bergamotthread/process/calls/call_cleaner.py
+++ b/bergamotthread/process/calls/call_cleaner.py
@@ -40,15 +40,15 @@
     ----------
     interval_ms
         Mean time between two steps; each step scans one key prefix.
-    scan_rows
+    scan_rows_max
         Maximum number of rows per scan. A prefix that reaches it is made
         longer and scanned again.
-    writes
+    writes_max
         Maximum number of rows that a step writes or deletes.
     grace_ms
         Time after the end of its lease at which a dispatched row is marked
         unknown.
-    digits
+    prefix_digits
         Number of hexadecimal digits of the first prefix of a step.
     """
 
--- a/bergamotthread/process/calls/call_executor.py
+++ b/bergamotthread/process/calls/call_executor.py
@@ -49,16 +49,16 @@
 
     Parameters
     ----------
-    concurrent
+    concurrent_max
         Maximum number of calls in flight; further ones are declined.
     ticket_lifetime_ms
         Time after which an unused ticket is closed.
-    answer_limit_ms
+    answer_timeout_ms
         Timeout for the upstream's answer to a guarded call. It also applies
         after the caller has disconnected.
-    replies, reply_bytes
+    replies_max, reply_bytes_max
         Maximum number and total bytes of replies kept for later queries.
-    fences
+    fences_max
         Number of keys whose highest fencing token is kept.
     retry_after_ms
         Time after which a declined call may be retried.
--- a/bergamotthread/process/calls/call_limits.py
+++ b/bergamotthread/process/calls/call_limits.py
@@ -14,18 +14,18 @@
     lease_margin_ms
         Time added to the call's timeout for the lease of its row. Others do
         not take the row over before the lease ends.
-    store_wait_ms
+    store_timeout_ms
         Time for which store operations are retried before a request fails.
-    settle_ms
+    settle_timeout_ms
         Time after the caller was answered in which the final state is written
         to the row.
-    park_ms
+    late_answer_timeout_ms
         Further time for which a late answer is awaited.
-    offer_ms
+    offer_timeout_ms
         Timeout for an agent's reply to an offer.
-    ask_ms
+    outcome_timeout_ms
         Timeout for an agent's reply about the outcome of a call.
-    poll_ms, poll_max_ms
+    poll_interval_ms, poll_interval_max_ms
         First and longest interval between reads of a row that another request
         holds.
     inline_bytes
@@ -36,7 +36,7 @@
     held_bytes
         Maximum total size of large answers that wait for the object store. An
         answer above it is delivered to the caller but not stored.
-    concurrent
+    concurrent_max
         Maximum number of guarded calls in flight, including those that wait
         for a late answer.
     """
--- a/bergamotthread/process/generations/completions.py
+++ b/bergamotthread/process/generations/completions.py
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    stamp
+    record_refusal
         Records a refusal that ends a stream and returns it with the request
         id under which it is explained.
     """
--- a/bergamotthread/process/generations/death_log.py
+++ b/bergamotthread/process/generations/death_log.py
@@ -60,10 +60,11 @@
         """Return how many deaths count against a fingerprint.
 
         A death is not counted if enough other upstreams of its failure domain,
-        which did not run the fingerprint, died within `CORRELATION_MS` of it.
-        Enough means half of the domain or `CORRELATED_MAX` upstreams, whichever
-        is fewer. A single other death does not suffice in a larger domain,
-        because another request may have caused that one.
+        which did not run the fingerprint, died within `CORRELATION_WINDOW_MS`
+        of it. Enough means half of the domain or
+        `CORRELATED_DEATHS_THRESHOLD` upstreams, whichever is fewer. A single
+        other death does not suffice in a larger domain, because another
+        request may have caused that one.
         """
         deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
         return sum(
@@ -74,9 +75,10 @@
     def is_simultaneous_loss(self, death_ids: Iterable[int]) -> bool:
         """Return whether each death coincides with many others.
 
-        A death does if at least `CORRELATED_MAX` other upstreams, of any
-        failure domain, died within `CORRELATION_MS` of it. A single request
-        that crashes upstreams does not kill that many in this time.
+        A death does if at least `CORRELATED_DEATHS_THRESHOLD` other upstreams,
+        of any failure domain, died within `CORRELATION_WINDOW_MS` of it. A
+        single request that crashes upstreams does not kill that many in this
+        time.
         """
         deaths = [self._death_by_id.get(death_id) for death_id in death_ids]
         return all(
--- a/bergamotthread/process/generations/generation_guards.py
+++ b/bergamotthread/process/generations/generation_guards.py
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True)
 class Proceed:
-    """The next attempt may be sent, but not to the agents in `avoided`.
+    """The next attempt may be sent, but not to `excluded_agents`.
 
-    `suspect` marks a request under which upstreams have died.
+    `is_suspect` marks a request under which upstreams have died.
     """
 
     is_suspect: bool = False
@@ -179,7 +179,8 @@
         """Record that an attempt was given up because its agent is suspected.
 
         A silent agent need not be dead. Whether the upstream died is known
-        when the agent sends a message again, or is assumed after `DOUBT_MS`.
+        when the agent sends a message again, or is assumed after
+        `SUSPICION_TIMEOUT_MS`.
         """
         now_ms = self._clock.now_ms()
         suspicion = self._suspicion_by_agent.setdefault(
@@ -204,7 +205,7 @@
             self.poison.record_end(agent, generation, completed=False)
 
     def expire_suspicions(self) -> None:
-        """Count agents that were suspected for `DOUBT_MS` as dead."""
+        """Count agents suspected for `SUSPICION_TIMEOUT_MS` as dead."""
         before_ms = self._clock.now_ms() - SUSPICION_TIMEOUT_MS
         for agent, suspicion in tuple(self._suspicion_by_agent.items()):
             if suspicion.since_ms <= before_ms:
@@ -214,8 +215,8 @@
     def upstream_died(self, agent: str, failure_domain: str) -> None:
         """Record the death of an upstream for all requests that ran on it.
 
-        Further reports for the agent within `DEATH_REPEAT_MS` concern the same
-        death and are ignored.
+        Further reports for the agent within `DEATH_REPORT_WINDOW_MS` concern
+        the same death and are ignored.
         """
         now_ms = self._clock.now_ms()
         since_ms = now_ms - self._death_ms_by_agent.get(
--- a/bergamotthread/process/generations/generation_watch.py
+++ b/bergamotthread/process/generations/generation_watch.py
@@ -26,7 +26,7 @@
         Limit for the first output after the dispatch is admitted.
     resumed_token_timeout_ms
         The same limit for an attempt that resumes after a loss.
-    resume_patience_ms
+    resume_timeout_ms
         Time after a loss for which a generation waits for any upstream.
     adopt_timeout_ms
         Limit for an agent to send the output of a generation that another
--- a/bergamotthread/process/generations/output_flusher.py
+++ b/bergamotthread/process/generations/output_flusher.py
@@ -17,7 +17,7 @@
     """Combines new output into one `OutputBatch` for each entry.
 
     If nothing was sent to an entry with running attempts for
-    `BEAT_INTERVAL_MS`, it gets an empty batch as a heartbeat.
+    `HEARTBEAT_INTERVAL_MS`, it gets an empty batch as a heartbeat.
     """
 
     def __init__(self, transport: Transport, clock: Clock) -> None:
@@ -35,7 +35,7 @@
         self._has_marked.set()
 
     async def wait_marked(self, timeout_ms: float) -> bool:
-        """Wait up to `limit_ms` for output to send.
+        """Wait up to `timeout_ms` for output to send.
 
         Returns
         -------
--- a/bergamotthread/process/generations/quarantine_store.py
+++ b/bergamotthread/process/generations/quarantine_store.py
@@ -65,8 +65,8 @@
     def quarantined(self, notice: Quarantine) -> None:
         """Send a quarantine to all peers and queue its row for `save`.
 
-        If more than `UNSAVED_MAX` rows are queued, the oldest one is dropped
-        and counted in `lost_rows`.
+        If more than `UNSAVED_ROWS_MAX` rows are queued, the oldest one is
+        dropped and counted in `dropped_rows`.
         """
         self._send_to_peers(notice)
         row = QuarantineRow(
--- a/bergamotthread/process/generations/running_attempts.py
+++ b/bergamotthread/process/generations/running_attempts.py
@@ -112,7 +112,7 @@
 
     @property
     def suspect_count(self) -> int:
-        """Number of suspect attempts with fewer than `CLEARING_TOKENS`."""
+        """Number of suspect attempts with fewer than `PROGRESS_MIN_TOKENS`."""
         return sum(
             attempt.dispatch.suspect and attempt.produced < PROGRESS_MIN_TOKENS
             for attempt in self.by_key.values()
--- a/tests/test_call_executor.py
+++ b/tests/test_call_executor.py
@@ -151,7 +151,7 @@
 
 
 async def _busy_agent_declines_offers() -> None:
-    bench = _Bench(concurrent=1)
+    bench = _Bench(concurrent_max=1)
     tickets = [await bench.ticket(), await bench.ticket()]
     running = asyncio.ensure_future(bench.dispatch(tickets[0]))
     await bench.clock.sleep_ms(10)
--- a/tests/test_call_operations.py
+++ b/tests/test_call_operations.py
@@ -176,7 +176,7 @@
     for index in range(40):
         await runner.run(group.request(f'k{index}', key_lifetime_ms=60_000))
     await group.clock.sleep_ms(55_000)
-    cleaner = _cleaner(group, digits=1)
+    cleaner = _cleaner(group, prefix_digits=1)
     assert await _clean_steps(cleaner, 100) == 0
     await group.clock.sleep_ms(10_000)
     assert await _clean_steps(cleaner, 100) == 40
@@ -193,7 +193,7 @@
     for index in range(60):
         await runner.run(group.request(f'k{index}', key_lifetime_ms=1000))
     await group.clock.sleep_ms(5000)
-    cleaner = _cleaner(group, digits=0, scan_rows=8, writes=3)
+    cleaner = _cleaner(group, prefix_digits=0, scan_rows_max=8, writes_max=3)
     writes_before = group.platform.writes
     steps = [await cleaner.step() for _ in range(200)]
     assert max(step.deleted for step in steps) <= 3
@@ -214,7 +214,7 @@
     )
     await group.clock.sleep_ms(100)
     group.stop_entry('entry-1')
-    cleaner = _cleaner(group, digits=0)
+    cleaner = _cleaner(group, prefix_digits=0)
     assert (await cleaner.step()).marked == 0
     await group.clock.sleep_ms(70_000)
     assert (await cleaner.step()).marked == 1
@@ -312,7 +312,7 @@
     task.cancel()
     assert isinstance(group.row().state, Reserved)
     await group.clock.sleep_ms(20_000)
-    assert (await _cleaner(group, digits=0).step()).deleted == 1
+    assert (await _cleaner(group, prefix_digits=0).step()).deleted == 1
 
 
 def test_cleaner_deletes_the_reservation_of_a_dead_entry() -> None:
--- a/tests/test_continuity_faults.py
+++ b/tests/test_continuity_faults.py
@@ -473,7 +473,7 @@
         deployment = SmallDeployment(speed=SPEED)
         live, _ = deployment.entries[0].open(REQUEST)
         await _until_offset(live, 10)
-        monkeypatch.setattr(GenerationDriver, '_conclude', None)
+        monkeypatch.setattr(GenerationDriver, '_handle_outcome', None)
         deployment.node_of(live).engine.die()
         await _until_over(live)
         assert live.generation.refusal is not None
