--- a/bergamotthread/request/call_events.py
+++ b/bergamotthread/request/call_events.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Found:
-    """The row that was read; `lapsed` if its lease has expired."""
+    """The row that was read; `is_lease_expired` if its lease is over."""
 
     stored: Stored | None
     is_lease_expired: bool = False
@@ -65,8 +65,8 @@
 class GaveUp:
     """The request's deadline has passed or the store does not answer.
 
-    `lapsed` is whether the request's own lease may have expired, so that
-    another request may hold the row.
+    `may_have_lost_lease` is whether the request's own lease may have expired,
+    so that another request may hold the row.
     """
 
     may_have_lost_lease: bool = True
--- a/bergamotthread/request/call_moves.py
+++ b/bergamotthread/request/call_moves.py
@@ -59,7 +59,7 @@
     reserving = replace(
         progress,
         phase=Phase.RESERVING,
-        known=stored,
+        last_stored=stored,
         pending=pending,
     )
     return reserving, (Write(pending, stored.revision if stored else 0),)
@@ -67,7 +67,7 @@
 
 def choose_agent(progress: Progress, stored: Stored) -> Transition:
     """Choose an agent for a call whose row is reserved."""
-    choosing = replace(progress, phase=Phase.CHOOSING, known=stored)
+    choosing = replace(progress, phase=Phase.CHOOSING, last_stored=stored)
     return choosing, (Choose(),)
 
 
@@ -80,7 +80,7 @@
         return give_answer(progress, Verdict.KEY_REUSED, stored.row.state)
     if is_pending(progress, stored):
         return choose_agent(progress, stored)
-    seen = replace(progress, known=stored)
+    seen = replace(progress, last_stored=stored)
     match stored.row.state:
         case Reserved() if not found.is_lease_expired:
             return replace(seen, phase=Phase.POLLING), (Poll(),)
@@ -144,7 +144,7 @@
     sending = open_sending(stored.row)
     if sending is None:
         raise AssertionError('a call is sent without its dispatched row')
-    waiting = replace(progress, phase=Phase.WAITING, known=stored)
+    waiting = replace(progress, phase=Phase.WAITING, last_stored=stored)
     return waiting, (Send(sending, stored.row.fence),)
 
 
@@ -154,9 +154,9 @@
     target_state: State,
     now_ms: int,
 ) -> Transition:
-    """Answer the caller and move the row to the state `goal`."""
+    """Answer the caller and move the row to the state `target_state`."""
     settling, actions = settle_row(
-        replace(progress, goal=target_state, answered=True),
+        replace(progress, target_state=target_state, answered=True),
         progress.last_stored,
         now_ms,
     )
@@ -202,7 +202,7 @@
 def settle_row(
     progress: Progress, stored: Stored | None, now_ms: int
 ) -> Transition:
-    """Write the row in the state `goal`, if that is still allowed."""
+    """Write the row in the state `target_state`, if that is still allowed."""
     target_state = progress.target_state
     row = None
     if stored is not None and target_state is not None:
@@ -212,7 +212,7 @@
     settling = replace(
         progress,
         phase=Phase.SETTLING,
-        known=stored,
+        last_stored=stored,
         pending=row,
     )
     return settling, (Write(row, stored.revision),)
@@ -222,7 +222,7 @@
     """Wait for a late answer if the outcome is unknown, otherwise end."""
     is_open = isinstance(progress.target_state, Unknown)
     phase = Phase.PARKED if is_open else Phase.ENDED
-    return replace(progress, phase=phase, known=stored)
+    return replace(progress, phase=phase, last_stored=stored)
 
 
 def release(progress: Progress, reason: str, now_ms: int) -> Transition:
@@ -234,7 +234,9 @@
         raise AssertionError(
             'a row is released that this request does not hold'
         )
-    return write_release(replace(progress, goal=goal, pending=row), known)
+    return write_release(
+        replace(progress, target_state=goal, pending=row), known
+    )
 
 
 def write_release(progress: Progress, stored: Stored) -> Transition:
@@ -276,7 +278,7 @@
     checking = replace(
         progress,
         phase=Phase.CHECKING,
-        goal=goal,
+        target_state=goal,
         answered=True,
     )
     return checking, (Answer(verdict, goal), Read())
--- a/bergamotthread/request/call_progress.py
+++ b/bergamotthread/request/call_progress.py
@@ -46,11 +46,11 @@
         The request's claim on the key.
     phase
         Current step of the protocol.
-    known
+    last_stored
         Row that was last read, or written with confirmation.
     pending
         Row of the last write attempt.
-    goal
+    target_state
         State that the row is to be left in.
     answered
         Whether the caller has its final answer.
--- a/bergamotthread/request/call_protocol.py
+++ b/bergamotthread/request/call_protocol.py
@@ -134,7 +134,7 @@
                 )
             if stored is not None and stored == progress.last_stored:
                 return write_release(progress, stored)
-            released = replace(progress, pending=None, goal=None)
+            released = replace(progress, pending=None, target_state=None)
             return handle_row(released, event, now_ms)
     return progress, ()
 
--- a/bergamotthread/request/call_row.py
+++ b/bergamotthread/request/call_row.py
@@ -242,13 +242,13 @@
 def settle(
     row: CallRow, target_state: State, owner: str, now_ms: int
 ) -> CallRow | None:
-    """Return the row in the state `goal`, or None if that is not allowed.
+    """Return the row in the state `target_state`, or None if not allowed.
 
     Parameters
     ----------
     row
         Row as last read.
-    goal
+    target_state
         Done, unknown or refused, for the sending or owner that it contains.
     owner
         Request that writes the row.
--- a/bergamotthread/request/held_bodies.py
+++ b/bergamotthread/request/held_bodies.py
@@ -32,7 +32,7 @@
         """Hold an answer until the end of the call.
 
         Returns False if it exceeds the budget; the caller must then remove the
-        answer by `drop` as soon as it has been delivered.
+        answer by `remove` as soon as it has been delivered.
         """
         if name in self.by_name:
             return True
--- a/bergamotthread/request/output_buffer.py
+++ b/bergamotthread/request/output_buffer.py
@@ -39,8 +39,8 @@
             subscriber=subscriber,
             heard_ms=now_ms,
             tokens=tokens,
-            sent=len(tokens),
-            acknowledged=len(tokens),
+            sent_tokens=len(tokens),
+            acknowledged_tokens=len(tokens),
         )
 
     @property
--- a/bergamotthread/version/acceptance.py
+++ b/bergamotthread/version/acceptance.py
@@ -68,8 +68,8 @@
     """Waits until no process may admit requests under an older version.
 
     Processes without an outage lease need no tracking: their version lease
-    expires within `lapse_ms` unless they have the version. A process with a
-    longer lease is registered; the watch waits until its row names the
+    expires within `lease_expiry_ms` unless they have the version. A process
+    with a longer lease is registered; the watch waits until its row names the
     version or its lease has expired.
     """
 
--- a/bergamotthread/version/archive.py
+++ b/bergamotthread/version/archive.py
@@ -44,7 +44,8 @@
         ----------
         held
             State to start from; the row's snapshot is used instead if the
-            state is more than `MAX_FOLLOWED` versions old or empty.
+            state is empty or more than `MAX_REPLAYED_PUBLICATIONS` versions
+            old.
         """
         if start_state.version == row.version:
             return start_state
@@ -132,6 +133,6 @@
     publications: tuple[Publication, ...],
     version: int,
 ) -> bool:
-    """Return whether `walked` continues the tail's snapshot to `version`."""
+    """Return whether the snapshot and `publications` lead to `version`."""
     starts_early = tail.snapshot_version < version
     return starts_early and publications[0].version <= tail.snapshot_version + 1
--- a/bergamotthread/version/lease.py
+++ b/bergamotthread/version/lease.py
@@ -60,6 +60,6 @@
 def lease_expiry_ms(lease_ms: float) -> float:
     """Return the time after which another process's lease has expired.
 
-    The rates of two processes' clocks may differ by `CLOCK_DRIFT`.
+    The rates of two processes' clocks may differ by `CLOCK_DRIFT_RATIO`.
     """
     return max(lease_ms, VERSION_LEASE_MS) * (1 + CLOCK_DRIFT_RATIO)
--- a/bergamotthread/version/record.py
+++ b/bergamotthread/version/record.py
@@ -75,7 +75,7 @@
     """A publication and the preceding ones, oldest first.
 
     They start after the snapshot `snapshot`, or later if they would exceed
-    `TAIL_BYTES`; `snapshot` is empty if there was none.
+    `MAX_TAIL_BYTES`; `snapshot` is empty if there was none.
     """
 
     publications: tuple[Publication, ...]
@@ -86,8 +86,9 @@
 class VersionRow(_Record, frozen=True):
     """Body of the row that names the newest version.
 
-    `recent` are the newest publications that fit `INLINE_BYTES`, oldest first;
-    `snapshot` names the newest snapshot and `snapshot_version` is its version.
+    `recent` are the newest publications that fit `MAX_INLINE_BYTES`, oldest
+    first; `snapshot` names the newest snapshot and `snapshot_version` is its
+    version.
     """
 
     version: int
--- a/bergamotthread/version/route_table.py
+++ b/bergamotthread/version/route_table.py
@@ -38,13 +38,13 @@
     ----------
     is_stream
         Whether the answer is a stream of events.
-    attempts_max
+    max_attempts
         Maximum number of upstreams that one request is sent to.
     timeout_ms
         Maximum time that a request waits for an answer.
-    first_event_goal_ms
+    first_event_target_ms
         Target for the time to the answer, or to its first event.
-    gap_goal_ms
+    gap_target_ms
         Target for the longest pause between two events; 0 if unset.
     """
 
--- a/tests/test_continuity.py
+++ b/tests/test_continuity.py
@@ -16,14 +16,14 @@
 
 async def _read_until(live, offset: int) -> None:
     while live.generation.offset < offset and not live.generation.is_over:
-        live.consumed = live.generation.offset
+        live.consumed_tokens = live.generation.offset
         await live.wait_change()
 
 
 async def _finish(live) -> str:
     await _read_until(live, COUNT)
     while not live.generation.is_over:
-        live.consumed = live.generation.offset
+        live.consumed_tokens = live.generation.offset
         await live.wait_change()
     assert live.generation.refusal is None, live.generation.refusal
     return ''.join(live.generation.tokens)
--- a/tests/test_continuity_faults.py
+++ b/tests/test_continuity_faults.py
@@ -41,13 +41,13 @@
 
 async def _until_offset(live, offset: int) -> None:
     while live.generation.offset < offset and not live.generation.is_over:
-        live.consumed = live.generation.offset
+        live.consumed_tokens = live.generation.offset
         await live.wait_change()
 
 
 async def _until_over(live) -> None:
     while not live.generation.is_over:
-        live.consumed = live.generation.offset
+        live.consumed_tokens = live.generation.offset
         await live.wait_change()
 
 
--- a/tests/test_version_lease_search.py
+++ b/tests/test_version_lease_search.py
@@ -108,7 +108,7 @@
         yield world._replace(published=NEW, written=world.now)
         return
     # All clocks of the search run at one rate, so the margin for drift in
-    # `lapse_ms` is cancelled here.
+    # `lease_expiry_ms` is cancelled here.
     waited_ms = (world.now - world.written) * TICK_MS * (1 + CLOCK_DRIFT_RATIO)
     rows_waited_for = [
         holder.row
