--- a/bergamotthread/platform/manifest.py
+++ b/bergamotthread/platform/manifest.py
@@ -110,7 +110,7 @@
         max_attempts=max(route.max_attempts, 1),
         timeout_ms=route.timeout_ms,
         first_event_target_ms=route.target_latency_ms,
-        gap_target_ms=route.gap_target_ms,
+        pause_target_ms=route.gap_target_ms,
         priority=route.priority,
         needs_key=not route.auth_exempt,
     )
--- a/bergamotthread/version/route_table.py
+++ b/bergamotthread/version/route_table.py
@@ -44,7 +44,7 @@
         Maximum time that a request waits for an answer.
     first_event_target_ms
         Target for the time to the answer, or to its first event.
-    gap_target_ms
+    pause_target_ms
         Target for the longest pause between two events; 0 if unset.
     """
 
@@ -57,7 +57,7 @@
     max_attempts: int
     timeout_ms: float
     first_event_target_ms: float
-    gap_target_ms: float = 0
+    pause_target_ms: float = 0
     priority: int = 0
     needs_key: bool = True
 
