--- a/bergamotthread/process/__init__.py
+++ b/bergamotthread/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one process."""
+"""Processes of the system: entries and agents, and their parts."""
--- a/bergamotthread/process/agent.py
+++ b/bergamotthread/process/agent.py
@@ -1,4 +1,4 @@
-"""The agent beside an engine: gate, output buffers and load reports."""
+"""Agent of an engine: admission gate, output buffers and load reports."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class AgentConfig:
-    """Times and sizes of an agent."""
+    """Intervals and limits of an agent."""
 
     flush_interval_ms: float = 20
     retention_ms: float = 60_000
@@ -66,7 +66,7 @@
 
     @classmethod
     def from_settings(cls, settings: AgentSettings) -> AgentConfig:
-        """Return the configuration that the settings ask for."""
+        """Return the configuration given by the settings."""
         return cls(
             flush_interval_ms=settings.flush_interval_ms,
             retention_ms=settings.retention_ms,
@@ -75,10 +75,10 @@
 
 
 class Agent:
-    """Runs attempts on one engine and holds their output.
+    """Runs attempts on one engine and buffers their output.
 
-    It alone dispatches to its engine, so its word that an attempt was not
-    dispatched is final.
+    Nothing else dispatches to the engine. Its answer that an attempt was not
+    dispatched is therefore definite.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
             self.attempts.stop_all()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message from an entry."""
+        """Handle a message from an entry."""
         sender = envelope.sender
         match envelope.message:
             case Dispatch() as dispatch:
@@ -141,7 +141,7 @@
                 self.refresh_drain()
 
     def refresh_drain(self) -> None:
-        """Put the newest announcements of a drain in force."""
+        """Apply the drain state to the gate, and decline what it refuses."""
         draining = not self.drain.may_dispatch()
         if draining != self.gate.draining:
             self.gate.drain(draining=draining)
@@ -149,7 +149,7 @@
         self.drain.refresh(len(self.held_by()))
 
     def held_by(self) -> tuple[str, ...]:
-        """Return what has to end before the host is safe to stop."""
+        """Return the work that must end before the host is safe to stop."""
         held = []
         if self.attempts.undelivered_count:
             held.append(f'{self.attempts.undelivered_count} attempts')
@@ -158,7 +158,7 @@
         return tuple(held)
 
     def apply_version(self, published: PublishedVersion) -> None:
-        """Take the limits, weights and stops of a published version."""
+        """Apply the limits, weights and stops of a published version."""
         self.drain.apply_stops(published.object_set.stops)
         upstream = published.upstreams_by_agent.get(self._transport.address)
         if upstream is not None:
@@ -166,8 +166,8 @@
         self._teams_by_name = published.teams_by_name
 
     def _weight_of(self, team: str) -> float:
-        known = self._teams_by_name.get(team)
-        return known.weight if known else 1
+        published_team = self._teams_by_name.get(team)
+        return published_team.weight if published_team else 1
 
     def _on_phase(self, phase: DrainPhase) -> None:
         if phase is DrainPhase.STOPPING:
@@ -176,9 +176,9 @@
 
     def _on_dispatch(self, dispatch: Dispatch, sender: str) -> None:
         key = AttemptKey.from_dispatch(dispatch)
-        known = self.attempts.buffers_by_key.get(key)
-        if known:
-            self._repeat(known, dispatch, sender)
+        buffer = self.attempts.buffers_by_key.get(key)
+        if buffer:
+            self._repeat(buffer, dispatch, sender)
             return
         self.refresh_drain()
         if not self.engine_is_up:
@@ -259,12 +259,12 @@
             self.gate.record_end(key.generation, key.attempt)
 
     def _on_revoke(self, key: AttemptKey, sender: str) -> None:
-        never = self.gate.revoke(key.generation, key.attempt)
+        is_undispatched = self.gate.revoke(key.generation, key.attempt)
         self._waiting_by_key.pop(key, None)
         self._on_cancel(key, sender)
         self._transport.send(
             sender,
-            Revoked(key.generation, key.attempt, not never),
+            Revoked(key.generation, key.attempt, not is_undispatched),
         )
 
     def _on_fetch(self, fetch: Fetch, sender: str) -> None:
@@ -277,16 +277,16 @@
         self._flusher.mark(buffer)
 
     async def _flush_forever(self) -> None:
-        """Send new output soon after it comes, then wait for an interval.
+        """Send new output shortly after it arrives, once per flush interval.
 
-        The tokens of one step of the engine arrive within `COALESCE_MS`, so
-        they leave together and each is about as late as the one before.
+        The tokens of one engine step arrive within `COALESCE_MS`. Waiting
+        that long sends them together and delays all tokens about equally.
         """
         interval_ms = self._config.flush_interval_ms
         coalesce_ms = min(COALESCE_MS, interval_ms)
         while True:
-            limit_ms = IDLE_WAIT_MS if self._is_idle() else interval_ms
-            if await self._flusher.wait_marked(limit_ms):
+            wait_ms = IDLE_WAIT_MS if self._is_idle() else interval_ms
+            if await self._flusher.wait_marked(wait_ms):
                 await self._clock.sleep_ms(coalesce_ms)
             self._start_ready()
             self._flush()
@@ -294,7 +294,7 @@
             await self._clock.sleep_ms(interval_ms - coalesce_ms)
 
     def _is_idle(self) -> bool:
-        """Return whether no entry waits for output or for a beat."""
+        """Return whether no entry waits for output or for a heartbeat."""
         return not self._waiting_by_key and not self.attempts.running_count
 
     def _flush(self) -> None:
--- a/bergamotthread/process/agent_process.py
+++ b/bergamotthread/process/agent_process.py
@@ -1,4 +1,8 @@
-"""One agent: all that a process beside an upstream consists of."""
+"""Agent process: assembles and runs the parts of one agent.
+
+An agent runs beside one upstream and is the only process that dispatches to
+it.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
     transport: Transport,
     clock: Clock,
 ) -> Agent | ServiceAgent:
-    """Return the agent for the kind of upstream that the settings name."""
+    """Return an agent for the upstream kind given by the settings."""
     if settings.upstream_kind == 'service':
         return ServiceAgent(
             transport,
@@ -48,7 +52,7 @@
 
 
 class AgentProcess:
-    """Serves entries until its task is cancelled or its drain is over."""
+    """Serves entries until its task is cancelled or its drain has ended."""
 
     def __init__(
         self,
@@ -87,7 +91,7 @@
         settings: AgentSettings,
         clock: Clock,
     ) -> AgentProcess:
-        """Bind the process's address."""
+        """Return a process that is bound to its address."""
         transport = ZmqTransport.from_settings(
             settings.place,
             settings.keys,
@@ -113,11 +117,11 @@
             await self._close()
 
     async def drain(self) -> None:
-        """Take no new work and return when none is left."""
+        """Decline new work and return when the running work has ended."""
         await self._drain.drain_and_wait()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Hand a message to the parts that take it."""
+        """Pass a message to the parts that handle its type."""
         self._hear(envelope.sender)
         self.versions.on_message(envelope)
         self.agent.on_message(envelope)
@@ -131,9 +135,9 @@
             self._heard_entries.popitem(last=False)
 
     def _entries(self) -> tuple[str, ...]:
-        """Return entries to ask for the version, latest heard from first."""
-        heard = reversed(self._heard_entries)
-        return tuple(dict.fromkeys((*heard, *self._settings.entries)))
+        """Return the entries to ask for the version, latest sender first."""
+        latest_first = reversed(self._heard_entries)
+        return tuple(dict.fromkeys((*latest_first, *self._settings.entries)))
 
     def _host_watch(self, store: StoreClient) -> OwnHostWatch:
         return OwnHostWatch(
@@ -154,11 +158,11 @@
             self._store.close()
 
     async def _follow_versions(self) -> None:
-        known = 0
+        applied_version = 0
         while True:
             published = self.versions.current
-            if published is not None and published.version != known:
-                known = published.version
+            if published is not None and published.version != applied_version:
+                applied_version = published.version
                 self.agent.apply_version(published)
             await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
@@ -168,7 +172,7 @@
     transport: Transport,
     store: StoreClient,
 ) -> OrderInbox | None:
-    """Return what answers orders; plain services take none."""
+    """Return the handler of engine orders, or None for a plain service."""
     if settings.upstream_kind == 'service':
         return None
     return OrderInbox(
--- a/bergamotthread/process/entry_app.py
+++ b/bergamotthread/process/entry_app.py
@@ -1,4 +1,4 @@
-"""The HTTP side of an entry."""
+"""HTTP application of an entry."""
 
 from __future__ import annotations
 
@@ -54,10 +54,16 @@
 
 
 class VersionSource(Protocol):
-    """Where the published version in force comes from."""
+    """Source of the published version in force."""
 
     def admit(self) -> PublishedVersion:
-        """Return the version to decide by, or raise `RefusedError`."""
+        """Return the version that applies to a new request.
+
+        Raises
+        ------
+        RefusedError
+            If no request may be admitted now.
+        """
 
     def admission_refusal(self) -> Refusal | None:
         """Return why no request may be admitted now, or None."""
@@ -67,21 +73,27 @@
     """Runs calls of plain services."""
 
     async def run(self, request: CallRequest) -> CallAnswer:
-        """Return the answer of a call, or raise `RefusedError`."""
+        """Return the answer of a call.
+
+        Raises
+        ------
+        RefusedError
+            If the call is refused or its outcome is unknown.
+        """
 
 
 class TeamGate(Protocol):
-    """Limits of teams across entries."""
+    """Limits of teams, shared by all entries."""
 
     def try_admit(self, team: str, cost: float = 1) -> Refusal | None:
-        """Return why a request of a team is over its limit, or None."""
+        """Count a request of a team; return a refusal if over its limit."""
 
     def release(self, team: str) -> None:
-        """Count out a request that was admitted."""
+        """Record the end of a request that was admitted."""
 
 
 class EntryParts(msgspec.Struct, frozen=True):
-    """What the HTTP side hands requests to."""
+    """Parts of the entry that the HTTP application uses."""
 
     generations: Generations
     completions: Completions
@@ -95,9 +107,10 @@
 
 
 class EntryApp:
-    """Serves callers.
+    """HTTP application that serves callers.
 
-    Every refusal is problem JSON with the request id that explains it.
+    Every refusal is problem JSON. Its request id is the key of the stored
+    explanation.
     """
 
     def __init__(
@@ -113,7 +126,7 @@
         self._clock = clock
 
     def starlette(self) -> Starlette:
-        """Return the application."""
+        """Return the Starlette application."""
         return Starlette(
             routes=[
                 Route('/v1/completions', self.complete, methods=['POST']),
@@ -129,7 +142,7 @@
         )
 
     def readiness(self) -> Readiness:
-        """Return whether the balancer may send requests."""
+        """Return whether the load balancer may send requests, or why not."""
         if self.draining:
             return Readiness(('draining',))
         refusal = self._parts.versions.admission_refusal()
@@ -287,8 +300,8 @@
     async def _refuse(self, request: Request, error: Exception) -> Response:
         if not isinstance(error, RefusedError):
             raise error
-        known = _with_request(error.refusal, request)
-        return problem_response(self._recorder.stamp(known))
+        refusal = _with_request(error.refusal, request)
+        return problem_response(self._recorder.stamp(refusal))
 
 
 async def _collect(stream: CompletionStream, answers: list[bytes]) -> None:
@@ -296,7 +309,7 @@
 
 
 def _with_request(refusal: Refusal, request: Request) -> Refusal:
-    """Return a refusal with the team and version of its request."""
+    """Return a refusal with team and version filled in from its request."""
     team = getattr(request.state, 'team', '')
     version = getattr(request.state, 'config_version', 0)
     return msgspec.structs.replace(
@@ -307,7 +320,7 @@
 
 
 def problem_response(refusal: Refusal) -> Response:
-    """Return the answer that tells a refusal."""
+    """Return the problem JSON response of a refusal."""
     headers = {_REQUEST_ID_HEADER: refusal.request_id}
     if refusal.retry_after_ms:
         seconds = -(-refusal.retry_after_ms // _MS_PER_S)
--- a/bergamotthread/process/entry_control.py
+++ b/bergamotthread/process/entry_control.py
@@ -1,4 +1,4 @@
-"""What an entry takes part in beside traffic: members, limits and orders."""
+"""Coordination with other entries: membership, limits and orders."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 @dataclass(frozen=True)
 class ControlSources:
-    """What an entry's control reads from.
+    """Sources that `EntryControl` reads from.
 
     Parameters
     ----------
     table
-        The platform's table, for the lease of the region.
+        Table of the platform; holds the lease of the region.
     hosts
-        The platform's host list; None where only `peers` are known.
+        Host list of the platform, or None to use `peers` only.
     peers
         Addresses of entries from the settings.
     config_version
-        Returns the version in force here.
+        Returns the number of the version in force at this entry.
     demand
-        Returns the demand of each pin, in requests per second.
+        Returns the demand for each pin, in requests per second.
     on_order
-        Called with the agent and each order that is sent.
+        Called with each order that is sent and its agent.
     """
 
     table: Table
@@ -55,18 +55,18 @@
 
 
 class EntryControl:
-    """Membership, limits of teams, subsets and orders of one entry.
+    """Membership, team limits, upstream subsets and orders of one entry.
 
     Parameters
     ----------
     transport
-        Sends the messages.
+        Transport that sends the messages.
     clock
         Clock of the process.
     place
-        Place of the entry.
+        Address, region and failure domain of the entry.
     sources
-        What it reads from.
+        Sources of hosts, versions and demand.
     """
 
     def __init__(
@@ -107,32 +107,32 @@
         self.membership.add_listener(self._on_member)
 
     def on_message(self, envelope: Envelope) -> None:
-        """Hand a message to the parts that take it."""
+        """Pass a message to the parts that handle its type."""
         self.membership.on_message(envelope)
         self.limits.on_message(envelope)
         self.orders.on_message(envelope)
 
     def apply_version(self, version: PublishedVersion) -> None:
-        """Take in a published version."""
+        """Apply a published version."""
         self._subset_by_model.clear()
         self.roster.apply_version(version)
         self.limits.apply_version(version)
         self.orders.apply_version(version)
 
     def subset(self, model: str) -> tuple[str, ...]:
-        """Return the agents of a model that this entry deals with."""
-        known = self._subset_by_model.get(model)
-        if known is None:
-            known = select_upstreams(
+        """Return the agents of a model that this entry sends requests to."""
+        agents = self._subset_by_model.get(model)
+        if agents is None:
+            agents = select_upstreams(
                 self._place,
                 self.membership.entry_places(),
                 self.roster.places(model),
             )
-            self._subset_by_model[model] = known
-        return known
+            self._subset_by_model[model] = agents
+        return agents
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Run until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.membership.run())
             group.create_task(self.limits.run())
--- a/bergamotthread/process/entry_metrics.py
+++ b/bergamotthread/process/entry_metrics.py
@@ -8,7 +8,7 @@
 
 
 class EntryMetrics:
-    """Counters and percentiles of an entry, and their registry."""
+    """Counters and percentiles of an entry, and the registry they are in."""
 
     def __init__(self, clock: Clock) -> None:
         self.registry = Metrics(clock)
@@ -45,7 +45,7 @@
         )
 
     def admitted(self) -> None:
-        """Count a request."""
+        """Count an admitted request."""
         self._requests.increment()
 
     def refused(self, reason: ReasonCode) -> None:
@@ -61,13 +61,13 @@
         self._tokens.increment(count)
 
     def resumed(self, duration_ms: float) -> None:
-        """Record a resume."""
+        """Record the duration of a resume."""
         self._resumes.record(duration_ms)
 
     def first_token(self, duration_ms: float) -> None:
-        """Record a first token."""
+        """Record the time to the first token."""
         self._firsts.record(duration_ms)
 
     def called(self, duration_ms: float) -> None:
-        """Record a call of a plain service."""
+        """Record the duration of a call of a plain service."""
         self._calls.record(duration_ms)
--- a/bergamotthread/process/entry_process.py
+++ b/bergamotthread/process/entry_process.py
@@ -1,4 +1,7 @@
-"""One entry: all that a process between callers and agents consists of."""
+"""Entry process: assembles and runs the parts of one entry.
+
+An entry accepts requests from callers and sends them to agents.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +64,7 @@
 
 
 class EntryProcess:
-    """Serves callers until its task is cancelled or its drain is over."""
+    """Serves callers until its task is cancelled or its drain has ended."""
 
     def __init__(
         self,
@@ -104,7 +107,10 @@
         settings: EntrySettings,
         clock: Clock,
     ) -> EntryProcess:
-        """Bind the process's addresses and connect it to the platform."""
+        """Return a process that is bound to its addresses.
+
+        The process uses the platform that the settings name.
+        """
         transport = ZmqTransport.from_settings(
             settings.place,
             settings.keys,
@@ -139,7 +145,11 @@
             await self._close()
 
     async def drain(self) -> None:
-        """Admit nothing, fail the balancer's check, return when idle."""
+        """Refuse new requests and return when the open ones have ended.
+
+        The readiness check of the load balancer fails from now on. Audit
+        records and explanations that are still buffered are written.
+        """
         self.membership.leave()
         await self._drain.drain_and_wait()
         await self.calls.finish()
@@ -151,10 +161,12 @@
             try:
                 await step()
             except StoreUnavailableError as error:
-                logging.warning('not all was written before the end: %s', error)
+                logging.warning(
+                    'shutdown: write failed, store unavailable: %s', error
+                )
 
     def on_message(self, envelope: Envelope) -> None:
-        """Hand a message to the parts that take it."""
+        """Pass a message to the parts that handle its type."""
         if self.calls.on_message(envelope):
             return
         self.versions.on_message(envelope)
@@ -166,7 +178,7 @@
         self.generations.on_message(envelope)
 
     def put_in_force(self, published: PublishedVersion) -> None:
-        """Decide by a newer version from now on."""
+        """Use a published version from now on, unless it is not newer."""
         if published.version <= self.generations.config_version:
             return
         self.control.apply_version(published)
@@ -295,7 +307,7 @@
         return self.versions.version
 
     def _peers(self) -> tuple[str, ...]:
-        """Return live entries, those of the settings before any is known."""
+        """Return the live entries, or the configured peers if none is known."""
         return self.membership.responsive_entries() or self._settings.peers
 
     def _subset(
@@ -303,12 +315,14 @@
         pin: Pin,
         upstreams: tuple[Upstream, ...],
     ) -> tuple[Upstream, ...]:
-        """Return the upstreams that this entry deals with."""
-        chosen = frozenset(self.control.subset(pin.model))
-        return tuple(one for one in upstreams if one.agent in chosen)
+        """Return the upstreams that this entry sends requests to."""
+        agents = frozenset(self.control.subset(pin.model))
+        return tuple(
+            upstream for upstream in upstreams if upstream.agent in agents
+        )
 
     async def _follow_versions(self) -> None:
-        """Put each newer version in force, also while no request comes."""
+        """Apply each newer version, also while no request arrives."""
         while True:
             published = self.versions.current
             if published is not None:
@@ -317,7 +331,7 @@
             await self._clock.sleep_ms(VERSION_CHECK_INTERVAL_MS)
 
     async def _follow_members(self) -> None:
-        """Choose the subset anew when other entries come or go."""
+        """Choose the subset of upstreams again when the live entries change."""
         while True:
             await self._clock.sleep_ms(SUBSET_INTERVAL_MS)
             entries = self.membership.live_entries()
@@ -334,6 +348,9 @@
 
 
 def _cursor_keys(settings: EntrySettings) -> tuple[bytes, ...]:
-    """Return the cursor keys; one of this process alone where none is set."""
+    """Return the configured cursor keys, or a random one if there are none.
+
+    Cursors signed with a random key are valid at this process only.
+    """
     keys = tuple(bytes.fromhex(key) for key in settings.keys.cursor_keys)
     return keys or (secrets.token_bytes(_CURSOR_KEY_BYTES),)
--- a/bergamotthread/process/http_server.py
+++ b/bergamotthread/process/http_server.py
@@ -1,4 +1,4 @@
-"""Configuration of the HTTP server from settings."""
+"""Configuration of the HTTP server that callers connect to."""
 
 from __future__ import annotations
 
@@ -23,14 +23,18 @@
     clock: Clock,
     refuse: Callable[[Refusal], Refusal],
 ) -> uvicorn.Config:
-    """Return the configuration of the server that callers reach.
+    """Return the server configuration given by the settings.
 
     Parameters
     ----------
     app
-        Application; it receives each body in one part.
+        ASGI application; it receives each request body in one message.
+    settings
+        Settings of the entry: address, limits and TLS files.
+    clock
+        Clock of the process.
     refuse
-        Stamps a refusal with a request id, records it and returns it.
+        Records a refusal and returns it with its request id.
     """
     address = Address.from_text(settings.listen)
     return HttpConfig(
--- a/bergamotthread/process/keys.py
+++ b/bergamotthread/process/keys.py
@@ -1,4 +1,4 @@
-"""Making of keys: TLS, CURVE, cursor keys and credentials."""
+"""Generation of TLS, CURVE and cursor keys and of credentials."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class CurvePair:
-    """Key pair for messages between processes, as Z85 text."""
+    """CURVE key pair for messages between processes, as Z85 text."""
 
     public: str
     secret: str
@@ -63,12 +63,12 @@
 
 
 def hash_credential(secret: str) -> str:
-    """Return the digest under which the published version knows a secret."""
+    """Return the SHA-256 of a secret in hex, as published versions hold it."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def generate_cursor_key() -> str:
-    """Return a new key that signs cursors, in hex."""
+    """Return a new key for signing cursors, in hex."""
     return secrets.token_hex(CURSOR_KEY_BYTES)
 
 
@@ -77,12 +77,12 @@
     lifetime_days: int,
     clock: Clock,
 ) -> TlsPair:
-    """Return a certificate that is valid for the IP numbers.
+    """Return a new self-signed certificate for the IP numbers.
 
     Raises
     ------
     AddressError
-        If a text is no IP number.
+        If a text is not an IP number.
     """
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name(
--- a/bergamotthread/process/log.py
+++ b/bergamotthread/process/log.py
@@ -1,7 +1,7 @@
-"""Log of a process: one line for each event on standard error.
+"""Logging of a process: one line per event, on standard error.
 
-Modules log through `absl.logging`. The fields of the running request come
-from `log_context`, from `extra` or from the error that is logged.
+Modules log through `absl.logging`. The request fields of a line come from
+`extra`, from the logged error or from `log_context`, in this order.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class LogContext:
-    """What a line is about; empty fields are left out of JSON lines."""
+    """Request fields of a log line; JSON lines omit empty fields."""
 
     request_id: str = ''
     attempt: int = 0
@@ -47,7 +47,7 @@
 
 @contextlib.contextmanager
 def log_context(context: LogContext) -> Iterator[None]:
-    """Add fields to every line that this task logs inside the block."""
+    """Add fields to every line that this task logs within the block."""
     token = _current.set(context)
     with contextlib.ExitStack() as stack:
         stack.callback(_current.reset, token)
@@ -55,12 +55,14 @@
 
 
 def configure_log(settings: LogSettings, stream: TextIO | None = None) -> None:
-    """Send all logs to one stream, standard error unless given."""
-    lines: Handler = StreamHandler(stream or sys.stderr)
-    lines.setFormatter(_formatter(settings))
-    lines.addFilter(_ContextFilter(keep_empty=settings.format == 'text'))
+    """Send all log lines to one stream, by default standard error."""
+    stream_handler: Handler = StreamHandler(stream or sys.stderr)
+    stream_handler.setFormatter(_formatter(settings))
+    stream_handler.addFilter(
+        _ContextFilter(keep_empty=settings.format == 'text')
+    )
     root.handlers.clear()
-    root.addHandler(lines)
+    root.addHandler(stream_handler)
     root.setLevel(settings.level.upper())
     logging.get_absl_logger().setLevel(settings.level.upper())
     logging.set_verbosity(settings.level)
@@ -77,7 +79,7 @@
 
 
 class _ContextFilter(Filter):
-    """Adds the fields of the context and of a logged error to each record."""
+    """Adds fields of the context and the logged error to each record."""
 
     def __init__(self, *, keep_empty: bool) -> None:
         super().__init__()
@@ -87,9 +89,9 @@
         fields = asdict(_current.get())
         if record.exc_info is not None:
             fields.update(_error_fields(record.exc_info[1]))
-        for name, found in fields.items():
-            if (found or self._keep_empty) and not hasattr(record, name):
-                setattr(record, name, found)
+        for name, text in fields.items():
+            if (text or self._keep_empty) and not hasattr(record, name):
+                setattr(record, name, text)
         return True
 
 
--- a/bergamotthread/process/metrics.py
+++ b/bergamotthread/process/metrics.py
@@ -1,6 +1,7 @@
-"""Counters, gauges and percentiles of a process, in the text format.
+"""Counters, gauges and percentiles in the Prometheus text format.
 
-Series carry no team names: callers can read them.
+Team names must not be used as label values, since callers can read the
+metrics.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
     kind: str
 
     def samples(self, name: str) -> Iterator[str]:
-        """Yield the lines of the current values."""
+        """Yield the exposition lines of the current values."""
 
 
 @dataclass
@@ -76,7 +77,7 @@
 
 @dataclass
 class Gauge:
-    """Value that is read when it is shown."""
+    """Value that is read at each exposition."""
 
     read: Callable[[], float]
     kind: str = field(default='gauge', init=False)
@@ -89,8 +90,9 @@
 class Percentiles:
     """Distribution of durations over the last one to two minutes.
 
-    `record` only appends to a buffer; equal values are then added to the
-    histogram together. The count and the sum are since the start.
+    `record` only appends to a buffer. When the buffer is full or read, equal
+    values are added to the histogram together. The count and the sum cover
+    the time since the start of the process.
     """
 
     kind = 'summary'
@@ -105,13 +107,13 @@
         self._started_ms = clock.now_ms()
 
     def record(self, duration_ms: float) -> None:
-        """Take in one duration in milliseconds."""
+        """Record one duration in milliseconds."""
         self._buffer.append(duration_ms)
         if len(self._buffer) >= BUFFERED_VALUES:
             self._fold()
 
     def percentile(self, quantile: float) -> float:
-        """Return the duration in ms below which a share of all lies."""
+        """Return a quantile (0 to 1) of the recent durations, in ms."""
         return _quantile(self._window(), quantile)
 
     def samples(self, name: str) -> Iterator[str]:
@@ -135,10 +137,12 @@
         self._count += len(self._buffer)
         self._sum_ms += sum(self._buffer)
         limit = MAX_VALUE_MS * _UNITS_PER_MS
-        units = [int(one * _UNITS_PER_MS) for one in self._buffer]
+        units = [
+            int(duration_ms * _UNITS_PER_MS) for duration_ms in self._buffer
+        ]
         self._buffer.clear()
-        for unit, times in collections.Counter(units).items():
-            self._current.record_value(max(0, min(unit, limit)), times)
+        for unit, count in collections.Counter(units).items():
+            self._current.record_value(max(0, min(unit, limit)), count)
 
     def _rotate(self) -> None:
         age_ms = self._clock.now_ms() - self._started_ms
@@ -170,7 +174,7 @@
         description: str,
         label: str,
     ) -> LabelledCounter:
-        """Return a new counter by the values of one label."""
+        """Return a new counter with one label."""
         counter = LabelledCounter(label)
         self._add(name, description, counter)
         return counter
@@ -181,7 +185,7 @@
         description: str,
         read: Callable[[], float],
     ) -> None:
-        """Show what `read` returns."""
+        """Add a gauge; `read` returns its current value."""
         self._add(name, description, Gauge(read))
 
     def percentiles(self, name: str, description: str) -> Percentiles:
@@ -202,7 +206,7 @@
 
     def _add(self, name: str, description: str, metric: _Metric) -> None:
         if name in self._metrics_by_name:
-            raise ValueError(f'metric {name} exists, expected a new name')
+            raise ValueError(f'metric {name} exists, expected an unused name')
         self._metrics_by_name[name] = metric
         self._help_by_name[name] = description.replace('\n', ' ')
 
--- a/bergamotthread/process/settings.py
+++ b/bergamotthread/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read from JSON and checked before use."""
+"""Structures of settings files; they are read from JSON and checked."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     frozen=True,
     forbid_unknown_fields=True,
 ):
-    """Base of settings."""
+    """Base class; settings are immutable and refuse unknown fields."""
 
 
 class KeySettings(_Settings, frozen=True):
@@ -72,7 +72,7 @@
 
 
 class LogSettings(_Settings, frozen=True):
-    """Form and least severity of the log on standard error."""
+    """Format and minimum level of the log on standard error."""
 
     format: LogFormat = 'json'
     level: LogLevel = 'info'
--- a/bergamotthread/process/settings_checks.py
+++ b/bergamotthread/process/settings_checks.py
@@ -1,4 +1,4 @@
-"""Rules for settings that their types do not express."""
+"""Checks of settings beyond the types of their fields."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def check_settings(
     settings: EntrySettings | AgentSettings,
 ) -> tuple[Problem, ...]:
-    """Return every rule that well-formed settings break."""
+    """Return every violation found in settings of the right types."""
     return (
         *_check_addresses(settings),
         *_check_curve_keys(settings.keys),
@@ -76,10 +76,12 @@
             yield Problem('$.keys.curve_public', '""', _CURVE_KEY)
         return
     given.update(_numbered('$.keys.curve_accepted', keys.curve_accepted))
-    faults = [path for path, key in given.items() if not _is_curve_key(key)]
-    for path in faults:
+    invalid_paths = [
+        path for path, key in given.items() if not _is_curve_key(key)
+    ]
+    for path in invalid_paths:
         yield Problem(path, _conceal(given[path]), _CURVE_KEY)
-    if not faults and not _is_curve_pair(keys):
+    if not invalid_paths and not _is_curve_pair(keys):
         yield Problem(
             '$.keys.curve_public',
             show_json(keys.curve_public),
--- a/bergamotthread/process/settings_file.py
+++ b/bergamotthread/process/settings_file.py
@@ -1,4 +1,4 @@
-"""Reading of settings files."""
+"""Read and check settings files."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class SettingsError(BergamotError):
-    """Settings are not valid; names file, JSON path, value and expectation."""
+    """Invalid settings; names the file, JSON path, value and expectation."""
 
     @classmethod
     def from_problem(cls, path: Path, problem: Problem) -> SettingsError:
-        """Return the error that tells of a problem in a file."""
+        """Return the error for one problem in a file."""
         return cls(
             f'{path}: {problem.path}: {problem.found}, '
             f'expected {problem.expected}',
@@ -31,14 +31,14 @@
 
 
 def load_settings(path: Path, kind: type[_Settings]) -> _Settings:
-    """Return the checked settings that a JSON file holds.
+    """Return the settings in a JSON file after checking them.
 
     Raises
     ------
     SettingsError
-        If there is one fault.
+        If exactly one problem is found.
     ExceptionGroup
-        Of `SettingsError`, if there are several.
+        Of `SettingsError`, if several problems are found.
     """
     return parse_settings(_read(path), kind, path=path)
 
@@ -49,14 +49,14 @@
     *,
     path: Path,
 ) -> _Settings:
-    """Return the checked settings that JSON text from `path` holds.
+    """Return the settings in JSON text read from `path`, checked.
 
     Raises
     ------
     SettingsError
-        If there is one fault.
+        If exactly one problem is found.
     ExceptionGroup
-        Of `SettingsError`, if there are several.
+        Of `SettingsError`, if several problems are found.
     """
     document = _decode(encoded, path)
     _raise_if_any(path, find_problems(document, kind))
@@ -93,11 +93,13 @@
 
 
 def _raise_if_any(path: Path, problems: tuple[Problem, ...]) -> None:
-    errors = [SettingsError.from_problem(path, one) for one in problems]
+    errors = [SettingsError.from_problem(path, problem) for problem in problems]
     match errors:
         case []:
             return
         case [error]:
             raise error
         case _:
-            raise ExceptionGroup(f'{path}: {len(errors)} faults', errors)
+            raise ExceptionGroup(
+                f'{path}: {len(errors)} problems in the settings', errors
+            )
--- a/bergamotthread/process/transport_metrics.py
+++ b/bergamotthread/process/transport_metrics.py
@@ -1,4 +1,4 @@
-"""Shows the counts of the transport between processes."""
+"""Gauges of the transport between processes."""
 
 from __future__ import annotations
 
