--- a/tests/test_cli_drain.py
+++ b/tests/test_cli_drain.py
@@ -1,3 +1,5 @@
+"""Drain commands publish only what is asked and report unsafe hosts."""
+
 from dataclasses import dataclass
 
 import msgspec
@@ -69,35 +71,41 @@
     return CliRunner().invoke(drain, arguments, obj=context)
 
 
-def test_plan_publishes_nothing(context: _Context) -> None:
-    shown = _invoke(context, 'plan', 'a1', 'a2', '--per-failure-domain', '1')
-    lines = [
+def test_plan_prints_consecutive_stops_and_publishes_nothing(
+    context: _Context,
+) -> None:
+    result = _invoke(context, 'plan', 'a1', 'a2', '--per-failure-domain', '1')
+    stops = [
         msgspec.json.decode(line, type=Stop)
-        for line in shown.output.splitlines()
+        for line in result.output.splitlines()
     ]
-    assert [stop.address for stop in lines] == ['a1', 'a2']
-    assert lines[0].deadline_ms == lines[1].start_ms
+    assert [stop.address for stop in stops] == ['a1', 'a2']
+    assert stops[0].deadline_ms == stops[1].start_ms
     assert context.version == 7
 
 
-def test_start_publishes_and_drops_past_stops(context: _Context) -> None:
-    shown = _invoke(context, 'start', 'a1', '--reason', 'kernel')
-    assert 'version 8' in shown.output
+def test_start_publishes_new_stops_without_the_expired_ones(
+    context: _Context,
+) -> None:
+    result = _invoke(context, 'start', 'a1', '--reason', 'kernel')
+    assert 'version 8' in result.output
     assert [stop.reason for stop in context.object_set.stops] == ['kernel']
 
 
-def test_unknown_address_fails(context: _Context) -> None:
-    shown = _invoke(context, 'start', 'a9')
-    assert shown.exit_code == 1
-    assert "'a9'" in shown.output
+def test_start_with_an_unknown_address_fails(context: _Context) -> None:
+    result = _invoke(context, 'start', 'a9')
+    assert result.exit_code == 1
+    assert "'a9'" in result.output
 
 
 @pytest.mark.parametrize('phase', [DrainPhase.DRAINED, DrainPhase.DRAINING])
-def test_status(context: _Context, phase: DrainPhase) -> None:
+def test_status_fails_unless_the_host_is_drained(
+    context: _Context, phase: DrainPhase
+) -> None:
     report = DrainReport('a1', 1, phase, (), NOW_MS)
     key = f'{REPORT_KEY_PREFIX}a1'
     context.platform.rows_by_key[key] = Row(key, msgspec.json.encode(report), 1)
-    shown = _invoke(context, 'status')
-    drained = phase is DrainPhase.DRAINED
-    assert shown.exit_code == (0 if drained else 1)
-    assert ('not safe' in shown.output) is (not drained)
+    result = _invoke(context, 'status')
+    is_drained = phase is DrainPhase.DRAINED
+    assert result.exit_code == (0 if is_drained else 1)
+    assert ('not safe' in result.output) is (not is_drained)
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -1,3 +1,5 @@
+"""The explain command prints a refusal, or an error if none is found."""
+
 import asyncio
 from typing import Any
 
@@ -45,9 +47,9 @@
         Config(app, host='127.0.0.1', port=0, log_config=None, lifespan='off')
     )
     await server.start()
-    outcome = await asyncio.to_thread(_invoke, server.port, *arguments)
+    result = await asyncio.to_thread(_invoke, server.port, *arguments)
     await server.abort()
-    return outcome
+    return result
 
 
 def _invoke(port: int, *arguments: str) -> Result:
@@ -67,18 +69,22 @@
         ('req-b/../0', 2, ['is no request id']),
     ],
 )
-def test_explain(request_id: str, exit_code: int, shown: list[str]) -> None:
-    outcome: Any = asyncio.run(_explain(request_id))
-    assert outcome.exit_code == exit_code, outcome.output
-    assert all(part in outcome.output for part in shown)
+def test_explain_prints_the_refusal_or_why_it_is_missing(
+    request_id: str, exit_code: int, shown: list[str]
+) -> None:
+    result: Any = asyncio.run(_explain(request_id))
+    assert result.exit_code == exit_code, result.output
+    assert all(part in result.output for part in shown)
 
 
 @pytest.mark.parametrize(
     ('entry', 'exit_code'), [('127.0.0.1:1', 1), ('localhost:1', 2)]
 )
-def test_entry_that_does_not_answer(entry: str, exit_code: int) -> None:
-    outcome = CliRunner().invoke(
+def test_unreachable_or_invalid_entry_is_named_in_the_error(
+    entry: str, exit_code: int
+) -> None:
+    result = CliRunner().invoke(
         COMMANDS[0], ['req-a-0-1', '--entry', entry, '--credential', 'x']
     )
-    assert outcome.exit_code == exit_code
-    assert entry in outcome.output
+    assert result.exit_code == exit_code
+    assert entry in result.output
--- a/tests/test_entry_app.py
+++ b/tests/test_entry_app.py
@@ -1,4 +1,8 @@
-"""The HTTP side of an entry, over real sockets on loopback."""
+"""HTTP application of an entry with agents and engines, over loopback.
+
+Each test sends requests to a server socket, so that limits, streaming and
+disconnects are those of the real HTTP server.
+"""
 
 import asyncio
 import hashlib
@@ -50,7 +54,7 @@
 
 
 @dataclass
-class _Path:
+class _Deployment:
     base: str
     engines: list[Engine]
     generations: Generations
@@ -70,17 +74,19 @@
 
 
 def _published() -> PublishedVersion:
-    plain = small_set(2)
+    object_set = small_set(2)
     digest = hashlib.sha256(CREDENTIAL.encode()).hexdigest()
-    team = msgspec.structs.replace(plain.teams[0], credential_hashes=(digest,))
+    team = msgspec.structs.replace(
+        object_set.teams[0], credential_hashes=(digest,)
+    )
     return PublishedVersion.from_object_set(
         1,
-        msgspec.structs.replace(plain, teams=(team,)),
+        msgspec.structs.replace(object_set, teams=(team,)),
     )
 
 
 @asynccontextmanager
-async def _path():
+async def _running_deployment():
     clock = Clock.from_system()
     network = MemoryNetwork(delay_ms=0)
     engines = [Engine(clock, SPEED, seed=index) for index in range(2)]
@@ -92,9 +98,9 @@
         await engine_server.start()
         servers.append(engine_server)
         client = HttpEngineClient(f'127.0.0.1:{engine_server.port}')
-        end = network.transport(address)
-        agent = Agent(AgentConfig(), end, client, clock)
-        end.start(agent.on_message)
+        agent_transport = network.transport(address)
+        agent = Agent(AgentConfig(), agent_transport, client, clock)
+        agent_transport.start(agent.on_message)
         tasks.append(asyncio.create_task(agent.run()))
     transport = network.transport('10.9.0.1:7000')
     generations = Generations(transport, RoundRobinPlacement(addresses), clock)
@@ -135,12 +141,12 @@
     servers.append(entry)
     base = f'http://127.0.0.1:{entry.port}'
     try:
-        yield _Path(base, engines, generations, HTTPClient())
+        yield _Deployment(base, engines, generations, HTTPClient())
     finally:
         for task in tasks:
             task.cancel()
-        for one in servers:
-            await one.abort()
+        for running in servers:
+            await running.abort()
 
 
 def _events(stream: bytes) -> list[dict]:
@@ -155,15 +161,15 @@
 
 
 def _text(stream: bytes) -> str:
-    return ''.join(one['choices'][0]['text'] for one in _events(stream))
+    return ''.join(event['choices'][0]['text'] for event in _events(stream))
 
 
 async def _read(response) -> bytes:
     return b''.join([chunk async for chunk in response.read_chunks()])
 
 
-def _total(path: _Path, count: str) -> int:
-    return sum(getattr(engine.counts, count) for engine in path.engines)
+def _total(deployment: _Deployment, count: str) -> int:
+    return sum(getattr(engine.counts, count) for engine in deployment.engines)
 
 
 async def _until(condition) -> None:
@@ -171,10 +177,10 @@
         await asyncio.sleep(0.01)
 
 
-def test_json_answer_is_whole() -> None:
+def test_json_answer_has_every_token() -> None:
     async def scenario() -> None:
-        async with _path() as path:
-            response = await path.post(
+        async with _running_deployment() as deployment:
+            response = await deployment.post(
                 {'model': 'furnace-log', 'prompt': PROMPT, 'max_tokens': 20},
             )
             answer = msgspec.json.decode(await response.content())
@@ -185,16 +191,16 @@
     asyncio.run(scenario())
 
 
-def test_stream_is_whole_although_the_engine_dies() -> None:
+def test_stream_is_complete_after_engine_losses() -> None:
     async def scenario() -> None:
-        async with _path() as path:
-            path.engines[0].faults.die_after_tokens = 25
-            path.engines[1].faults.die_after_tokens = 40
+        async with _running_deployment() as deployment:
+            deployment.engines[0].faults.die_after_tokens = 25
+            deployment.engines[1].faults.die_after_tokens = 40
             asyncio.get_running_loop().call_later(
                 0.3,
-                path.engines[0].revive,
+                deployment.engines[0].revive,
             )
-            response = await path.post(
+            response = await deployment.post(
                 {
                     'model': 'furnace',
                     'prompt': PROMPT,
@@ -211,16 +217,16 @@
     asyncio.run(scenario())
 
 
-def test_reconnect_continues_at_the_cursor() -> None:
+def test_reconnect_continues_after_the_last_event_id() -> None:
     async def scenario() -> None:
-        async with _path() as path:
+        async with _running_deployment() as deployment:
             body = {
                 'model': 'furnace',
                 'prompt': PROMPT,
                 'max_tokens': 50,
                 'stream': True,
             }
-            first = await path.post(body)
+            first = await deployment.post(body)
             head = b''
             async for chunk in first.read_chunks():
                 head += chunk
@@ -228,26 +234,26 @@
                     break
             await first.aclose()
             cursor = _ids(head)[-1]
-            second = await path.post(body, {'last-event-id': cursor})
+            second = await deployment.post(body, {'last-event-id': cursor})
             tail = await _read(second)
         verify_answer(PROMPT, _text(head) + _text(tail), 50)
 
     asyncio.run(scenario())
 
 
-def test_caller_that_goes_away_is_cancelled_at_the_engine() -> None:
+def test_disconnect_of_the_caller_cancels_the_engine_run() -> None:
     async def scenario() -> None:
-        async with _path() as path:
+        async with _running_deployment() as deployment:
             body = {'model': 'furnace', 'prompt': PROMPT, 'max_tokens': 9000}
-            task = asyncio.create_task(path.post(body))
-            await _until(lambda: _total(path, 'started'))
+            task = asyncio.create_task(deployment.post(body))
+            await _until(lambda: _total(deployment, 'started'))
             task.cancel()
-            await _until(lambda: _total(path, 'cancelled'))
+            await _until(lambda: _total(deployment, 'cancelled'))
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_refusals_are_problem_json() -> None:
+def test_refusals_are_problem_json_and_start_no_run() -> None:
     cases = (
         ({'model': 'nothing', 'prompt': 'x'}, {}, 404, 'not_found'),
         ({'prompt': 'x'}, {}, 400, 'bad_request'),
@@ -273,9 +279,9 @@
     )
 
     async def scenario() -> None:
-        async with _path() as path:
+        async with _running_deployment() as deployment:
             for body, headers, status, reason in cases:
-                response = await path.post(body, headers)
+                response = await deployment.post(body, headers)
                 problem = msgspec.json.decode(await response.content())
                 assert (response.status_code, problem['reason']) == (
                     status,
@@ -283,6 +289,8 @@
                 )
                 assert problem['ran'] == 'no'
                 assert problem['request_id']
-            assert not any(engine.counts.started for engine in path.engines)
+            assert not any(
+                engine.counts.started for engine in deployment.engines
+            )
 
     asyncio.run(scenario())
--- a/tests/test_entry_control.py
+++ b/tests/test_entry_control.py
@@ -1,3 +1,9 @@
+"""Entries of one region agree on members, subsets, orders and limits.
+
+The network loses 2 % of the messages. After the loss of an entry, stale
+subsets or a region lease without a holder would leave upstreams unserved.
+"""
+
 import asyncio
 
 import pytest
@@ -30,7 +36,7 @@
 
 
 class _Deployment:
-    """Entries of one region on one network and platform."""
+    """Entries of one region that share a network and a platform."""
 
     def __init__(self, count: int) -> None:
         self.clock = Clock.from_loop(asyncio.get_running_loop())
@@ -38,14 +44,14 @@
         self.platform = MemoryPlatform(self.clock)
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.controls: dict[str, EntryControl] = {}
-        self.ordered: set[str] = set()
+        self.order_senders: set[str] = set()
         for number in range(count):
-            self._add(f'10.0.0.{number}:1')
+            self._add_entry(f'10.0.0.{number}:1')
         for number in range(UPSTREAMS):
             agent = f'10.1.0.{number}:1'
-            self.network.transport(agent).start(self._note_order)
+            self.network.transport(agent).start(self._record_order_sender)
 
-    def _add(self, address: str) -> None:
+    def _add_entry(self, address: str) -> None:
         place = PlaceSettings(address, 'r0', 'd0')
         self.platform.hosts_by_address[address] = HostEntry(
             address, 'entry', 'r0', 'd0'
@@ -65,9 +71,9 @@
         self.controls[address] = control
         self.tasks[address] = asyncio.create_task(control.run())
 
-    def _note_order(self, envelope: Envelope) -> None:
+    def _record_order_sender(self, envelope: Envelope) -> None:
         if isinstance(envelope.message, Order):
-            self.ordered.add(envelope.sender)
+            self.order_senders.add(envelope.sender)
 
     def crash(self, address: str) -> None:
         self.tasks.pop(address).cancel()
@@ -102,22 +108,24 @@
     )
 
 
-def _is_current(deployment: _Deployment) -> bool:
-    rest = [
+def _subsets_are_current(deployment: _Deployment) -> bool:
+    entry_places = [
         PlaceSettings(address, 'r0', 'd0') for address in deployment.controls
     ]
     return all(
         control.subset('m')
-        == select_upstreams(own, rest, control.roster.places('m'))
-        for own, control in zip(rest, deployment.controls.values(), strict=True)
+        == select_upstreams(place, entry_places, control.roster.places('m'))
+        for place, control in zip(
+            entry_places, deployment.controls.values(), strict=True
+        )
     )
 
 
-async def _crash() -> None:
+async def _crash_lease_holder() -> None:
     deployment = _Deployment(12)
-    assert not _is_current(deployment)
+    assert not _subsets_are_current(deployment)
     await deployment.clock.sleep_ms(100)
-    assert _is_current(deployment)
+    assert _subsets_are_current(deployment)
     await deployment.clock.sleep_ms(60_000)
     holders = [
         address
@@ -125,24 +133,24 @@
         if control.lease.is_valid()
     ]
     assert len(holders) == 1
-    assert deployment.ordered == set(holders)
-    lost = holders[0]
-    assert _is_current(deployment)
-    deployment.crash(lost)
+    assert deployment.order_senders == set(holders)
+    lost_holder = holders[0]
+    assert _subsets_are_current(deployment)
+    deployment.crash(lost_holder)
     await deployment.clock.sleep_ms(90_000)
     controls = deployment.controls.values()
     assert sum(control.lease.is_valid() for control in controls) == 1
     for control in controls:
         assert len(control.membership.live_entries()) == 11
-    assert _is_current(deployment)
+    assert _subsets_are_current(deployment)
     deployment.close()
 
 
-def test_lost_entry_is_replaced_in_every_part() -> None:
-    run_virtual(_crash())
+def test_entries_replace_a_lost_lease_holder() -> None:
+    run_virtual(_crash_lease_holder())
 
 
-async def _limit() -> None:
+async def _admit_at_three_entries() -> None:
     deployment = _Deployment(3)
     await deployment.clock.sleep_ms(40_000)
     admitted = 0
@@ -158,5 +166,5 @@
     assert admitted <= 21 * LIMIT + 12
 
 
-def test_limit_holds_over_the_real_membership() -> None:
-    run_virtual(_limit())
+def test_team_limit_holds_across_entries() -> None:
+    run_virtual(_admit_at_three_entries())
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,3 +1,5 @@
+"""Generated keys match, are private to their owner and pass the checks."""
+
 import json
 from pathlib import Path
 
@@ -23,19 +25,19 @@
 _EXAMPLE = Path(__file__).parent.parent / 'examples' / 'entry.json'
 
 
-def test_curve_pair_matches() -> None:
+def test_generated_curve_keys_form_a_pair() -> None:
     pair = CurvePair.generate()
     assert zmq.curve_public(pair.secret.encode()).decode() == pair.public
 
 
-def test_credential_hash() -> None:
-    one, other = Credential.generate(), Credential.generate()
-    assert one.secret != other.secret
-    assert one.digest == hash_credential(one.secret)
-    assert len(one.digest) == 64
+def test_credentials_are_unique_and_match_their_digest() -> None:
+    first, second = Credential.generate(), Credential.generate()
+    assert first.secret != second.secret
+    assert first.digest == hash_credential(first.secret)
+    assert len(first.digest) == 64
 
 
-def test_certificate_names_ip_numbers_and_lifetime() -> None:
+def test_certificate_has_the_ip_numbers_and_lifetime() -> None:
     clock = Clock(lambda: 0, lambda: 1_000_000_000)
     pair = generate_tls_pair(('10.0.0.1', '::1'), 30, clock)
     certificate = x509.load_pem_x509_certificate(pair.certificate)
@@ -47,15 +49,17 @@
     assert lifetime == 30 * 86_400
 
 
-def test_host_name_gets_no_certificate() -> None:
+def test_certificate_for_a_host_name_is_refused() -> None:
     with pytest.raises(AddressError):
         generate_tls_pair(('example.org',), 30, Clock.from_system())
 
 
-def test_deployment_keys_make_valid_settings(tmp_path: Path) -> None:
+def test_deployment_keys_are_valid_settings_and_not_overwritten(
+    tmp_path: Path,
+) -> None:
     arguments = ['deployment', '--directory', str(tmp_path / 'keys')]
-    made = CliRunner().invoke(_KEYGEN, arguments)
-    assert made.exit_code == 0, made.output
+    created = CliRunner().invoke(_KEYGEN, arguments)
+    assert created.exit_code == 0, created.output
     keys_file = tmp_path / 'keys' / 'keys.json'
     assert keys_file.stat().st_mode & 0o077 == 0
     document = json.loads(_EXAMPLE.read_bytes())
@@ -69,6 +73,6 @@
 
 
 @pytest.mark.parametrize('kind', ['curve', 'cursor', 'credential'])
-def test_printed_keys_differ_each_time(kind: str) -> None:
+def test_each_command_run_prints_a_new_key(kind: str) -> None:
     outputs = {CliRunner().invoke(_KEYGEN, [kind]).output for _ in range(2)}
     assert len(outputs) == 2
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,3 +1,5 @@
+"""Log lines carry the fields of their request and respect the level."""
+
 import io
 import json
 from collections.abc import Iterator
@@ -24,7 +26,9 @@
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_json_line_carries_context(stream: io.StringIO) -> None:
+def test_json_line_has_the_context_of_its_block_only(
+    stream: io.StringIO,
+) -> None:
     configure_log(LogSettings(), stream)
     with log_context(LogContext('req-1', 2, 'dispatch', '10.0.0.1:7')):
         logging.info('sent\n%s', 'twice')
@@ -43,7 +47,7 @@
     assert 'request_id' not in second
 
 
-def test_error_gives_step_and_peer(stream: io.StringIO) -> None:
+def test_logged_error_adds_its_step_and_peer(stream: io.StringIO) -> None:
     configure_log(LogSettings(), stream)
     try:
         raise DecodeError('bad', step=Step.DECODE, peer='10.0.0.2:7')
@@ -54,7 +58,7 @@
     assert 'Traceback' in str(line['error'])
 
 
-def test_extra_goes_before_context(stream: io.StringIO) -> None:
+def test_extra_overrides_the_context(stream: io.StringIO) -> None:
     configure_log(LogSettings(), stream)
     with log_context(LogContext(peer='one')):
         logging.warning('refused', extra={'peer': 'other'})
@@ -62,7 +66,9 @@
 
 
 @pytest.mark.parametrize(('level', 'count'), [('info', 2), ('error', 1)])
-def test_level(stream: io.StringIO, level: str, count: int) -> None:
+def test_lines_below_the_level_are_dropped(
+    stream: io.StringIO, level: str, count: int
+) -> None:
     configure_log(LogSettings(format='text', level=level), stream)
     logging.info('one')
     logging.error('two')
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,3 +1,5 @@
+"""Metrics in the text format, with bounded labels and recent percentiles."""
+
 import asyncio
 import json
 
@@ -16,7 +18,7 @@
 _CLOCK = Clock(lambda: 0, lambda: 0)
 
 
-def test_exposition() -> None:
+def test_text_format_of_each_kind_of_metric() -> None:
     metrics = Metrics(_CLOCK)
     metrics.counter('requests_total', 'Requests.').increment()
     refusals = metrics.labelled_counter('refusals_total', 'Refusals.', 'reason')
@@ -45,7 +47,9 @@
     ]
 
 
-def test_labels_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_label_values_beyond_the_limit_count_as_other(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(metrics_module, 'MAX_LABELS', 2)
     counter = Metrics(_CLOCK).labelled_counter('a', 'A.', 'peer')
     for peer in ('one', 'two', 'three', 'four', 'one'):
@@ -53,7 +57,7 @@
     assert counter.totals_by_value == {'one': 2, 'two': 1, 'other': 2}
 
 
-def test_name_is_used_once() -> None:
+def test_duplicate_metric_name_is_refused() -> None:
     metrics = Metrics(_CLOCK)
     metrics.counter('a', 'A.')
     with pytest.raises(ValueError, match='metric a exists'):
@@ -69,7 +73,7 @@
     assert percentiles.percentile(1) == pytest.approx(largest, 0.01, 0.2)
 
 
-def test_percentiles_forget_after_the_window() -> None:
+def test_percentiles_drop_values_older_than_the_window() -> None:
     async def main() -> None:
         clock = Clock.from_loop(asyncio.get_running_loop())
         percentiles = Percentiles(clock)
@@ -87,7 +91,9 @@
 @pytest.mark.parametrize(
     ('reasons', 'status'), [((), 200), (('draining',), 503)]
 )
-def test_routes(reasons: tuple[str, ...], status: int) -> None:
+def test_health_routes_show_metrics_and_readiness(
+    reasons: tuple[str, ...], status: int
+) -> None:
     metrics = Metrics(_CLOCK)
     metrics.counter('requests_total', 'Requests.')
     routes = health_routes(metrics, lambda: Readiness(reasons))
--- a/tests/test_operator_context.py
+++ b/tests/test_operator_context.py
@@ -1,3 +1,5 @@
+"""Publishing from a command, against a platform stand-in over sockets."""
+
 import asyncio
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -43,7 +45,7 @@
     return msgspec.structs.replace(object_set, stops=(stop,))
 
 
-def test_stops_are_published_and_recorded() -> None:
+def test_publication_is_stored_and_in_the_audit_trail() -> None:
     async def _scenario(context: PlatformContext) -> None:
         version = await context.read_version()
         object_set = _with_stop(version.object_set)
@@ -70,14 +72,14 @@
     _run(_scenario, credential='guess')
 
 
-def test_set_of_the_design_size_passes_the_platform() -> None:
+def test_set_of_the_design_size_can_be_published() -> None:
     async def _scenario(context: PlatformContext) -> None:
         version = await context.read_version()
         operators = version.object_set.operators
-        large = msgspec.structs.replace(make_set(), operators=operators)
-        assert await context.publish(1, large) == 2
+        large_set = msgspec.structs.replace(make_set(), operators=operators)
+        assert await context.publish(1, large_set) == 2
         newest = await context.read_version()
-        assert not diff_sets(newest.object_set, large).names()
-        assert len(newest.upstreams_by_agent) == len(large.upstreams)
+        assert not diff_sets(newest.object_set, large_set).names()
+        assert len(newest.upstreams_by_agent) == len(large_set.upstreams)
 
     _run(_scenario)
--- a/tests/test_publish_commands.py
+++ b/tests/test_publish_commands.py
@@ -1,3 +1,5 @@
+"""Commands that validate, publish, roll back, export and audit versions."""
+
 import asyncio
 import json
 from collections.abc import Coroutine
@@ -23,11 +25,13 @@
 
 EXAMPLE = Path(__file__).parent.parent / 'examples/termolab/objects.json'
 DAY_SHIFT = 'example-operator-day-shift-20'
-COMMANDS = {one.name: one for one in (*publish.COMMANDS, *audit.COMMANDS)}
+COMMANDS = {
+    command.name: command for command in (*publish.COMMANDS, *audit.COMMANDS)
+}
 
 
 class _Context:
-    """Context of commands over memory, in virtual time."""
+    """Operator context with an in-memory platform and virtual time."""
 
     def __init__(self) -> None:
         self.platform = MemoryPlatform(Clock.from_system())
@@ -53,11 +57,11 @@
 
 
 def _invoke(context: _Context, *arguments: object) -> Result:
-    name, *rest = map(str, arguments)
+    name, *options = map(str, arguments)
     environment = {'BERGAMOTTHREAD_CREDENTIAL': DAY_SHIFT}
     return CliRunner(env=environment).invoke(
         COMMANDS[name],
-        rest,
+        options,
         obj=context,
         catch_exceptions=False,
     )
@@ -71,13 +75,15 @@
     return path
 
 
-def test_validate_prints_all_faults(tmp_path: Path, context: _Context) -> None:
+def test_validate_prints_all_problems(
+    tmp_path: Path, context: _Context
+) -> None:
     assert 'valid' in _invoke(context, 'validate', EXAMPLE).output
     path = _edited(tmp_path, weight=-1, home_region='x')
-    refused = _invoke(context, 'validate', path)
-    assert refused.exit_code == 2
-    assert '$.teams[0].weight' in refused.output
-    assert 'valid: cuyo, litoral, pampa' in refused.output
+    result = _invoke(context, 'validate', path)
+    assert result.exit_code == 2
+    assert '$.teams[0].weight' in result.output
+    assert 'valid: cuyo, litoral, pampa' in result.output
 
 
 def test_publish_waits_until_in_force(
@@ -92,17 +98,19 @@
     assert '~ teams/rosario-gears.weight: 4.0 -> 2.0' in second.output
     again = _invoke(context, 'publish', path, '--base', 2)
     assert 'no changes; version 2 stays' in again.output
-    shown = _invoke(context, 'status').output
-    assert 'version 2 by day-shift (less): teams/rosario-gears' in shown
+    output = _invoke(context, 'status').output
+    assert 'version 2 by day-shift (less): teams/rosario-gears' in output
 
 
-def test_conflict_tells_who_and_what(tmp_path: Path, context: _Context) -> None:
+def test_conflict_names_the_operator_and_the_changed_object(
+    tmp_path: Path, context: _Context
+) -> None:
     _invoke(context, 'publish', EXAMPLE, '--base', 0)
     _invoke(context, 'publish', _edited(tmp_path, weight=2), '--base', 1)
     path = _edited(tmp_path, weight=3)
-    refused = _invoke(context, 'publish', path, '--base', 1)
-    assert refused.exit_code == 4
-    assert 'version 2 by day-shift: teams/rosario-gears' in refused.output
+    result = _invoke(context, 'publish', path, '--base', 1)
+    assert result.exit_code == 4
+    assert 'version 2 by day-shift: teams/rosario-gears' in result.output
 
 
 def _register(context: _Context) -> None:
@@ -114,7 +122,7 @@
     run_virtual(_record())
 
 
-def test_publish_tells_where_it_is_not_in_force(
+def test_publish_names_processes_where_it_is_not_in_force(
     tmp_path: Path,
     context: _Context,
 ) -> None:
@@ -125,12 +133,12 @@
     assert published.exit_code == 3
     expected = 'published, not yet in force in: pampa (10.0.0.1:7000)'
     assert expected in published.output
-    shown = _invoke(context, 'status', '--version', 2, '--timeout-s', 7200)
-    assert 'region pampa: version 1 at 1 registered' in shown.output
-    assert shown.exit_code == 0
+    result = _invoke(context, 'status', '--version', 2, '--timeout-s', 7200)
+    assert 'region pampa: version 1 at 1 registered' in result.output
+    assert result.exit_code == 0
 
 
-def test_forgotten_host_holds_nothing_up(
+def test_forget_host_unblocks_acceptance(
     tmp_path: Path,
     context: _Context,
 ) -> None:
@@ -138,13 +146,15 @@
     _register(context)
     path = _edited(tmp_path, weight=2)
     _invoke(context, 'publish', path, '--base', 1, '--timeout-s', 0)
-    shown = _invoke(context, 'forget-host', '10.0.0.1:7000')
-    assert '1 registrations removed' in shown.output
+    result = _invoke(context, 'forget-host', '10.0.0.1:7000')
+    assert '1 registrations removed' in result.output
     assert _invoke(context, 'status', '--version', 2).exit_code == 0
     assert 'forget_host' in _invoke(context, 'audit').output
 
 
-def test_rollback_and_export(tmp_path: Path, context: _Context) -> None:
+def test_rollback_publishes_the_exported_earlier_set(
+    tmp_path: Path, context: _Context
+) -> None:
     _invoke(context, 'publish', EXAMPLE, '--base', 0)
     _invoke(context, 'publish', _edited(tmp_path, weight=2), '--base', 1)
     result = _invoke(context, 'rollback', 1, '--base', 2)
@@ -158,9 +168,9 @@
 
 def test_unknown_credential_publishes_nothing(context: _Context) -> None:
     arguments = ['publish', EXAMPLE, '--base', 0, '--credential', 'guess']
-    refused = _invoke(context, *arguments)
-    assert refused.exit_code == 1
-    assert 'of no operator' in refused.output
+    result = _invoke(context, *arguments)
+    assert result.exit_code == 1
+    assert 'of no operator' in result.output
     assert context.platform.writes == 0
 
 
@@ -170,29 +180,31 @@
     assert _invoke(context, *arguments).exit_code == 0
 
 
-def test_unknown_outcome_has_its_exit_code(context: _Context) -> None:
-    class _MuteTable(MemoryTable):
+def test_unknown_publication_outcome_exits_with_code_5(
+    context: _Context,
+) -> None:
+    class _UnavailableTable(MemoryTable):
         async def write(self, key: str, body: bytes, *, expected: int) -> None:
             raise StoreUnavailableError('no answer', step='store')
 
-    context.table = lambda: _MuteTable(context.platform)
-    refused = _invoke(context, 'publish', EXAMPLE, '--base', 0)
-    assert refused.exit_code == 5
+    context.table = lambda: _UnavailableTable(context.platform)
+    result = _invoke(context, 'publish', EXAMPLE, '--base', 0)
+    assert result.exit_code == 5
 
 
-def test_store_down_is_told(context: _Context) -> None:
+def test_commands_fail_while_the_platform_is_down(context: _Context) -> None:
     context.platform.faults.down = True
     for arguments in (['status'], ['audit'], ['export']):
-        refused = _invoke(context, *arguments)
-        assert refused.exit_code == 1
-        assert 'platform is down' in refused.output
+        result = _invoke(context, *arguments)
+        assert result.exit_code == 1
+        assert 'platform is down' in result.output
 
 
 def test_audit_shows_publications(context: _Context) -> None:
     _invoke(context, 'publish', EXAMPLE, '--base', 0, '--note', 'first')
-    shown = _invoke(context, 'audit', '--verify')
-    assert '0->1  day-shift' in shown.output
-    assert '1 records of 1 writers verified' in shown.stderr
+    result = _invoke(context, 'audit', '--verify')
+    assert '0->1  day-shift' in result.output
+    assert '1 records of 1 writers verified' in result.stderr
     line = _invoke(context, 'audit', '--json', '--kind', 'publish').output
     assert json.loads(line)['detail']['note'] == 'first'
     assert not _invoke(context, 'audit', '--kind', 'drain').output
@@ -201,59 +213,59 @@
 def test_audit_verify_finds_an_altered_record(context: _Context) -> None:
     _invoke(context, 'publish', EXAMPLE, '--base', 0)
     [name] = [
-        one
-        for one in context.platform.bodies_by_name
-        if one.startswith('audit')
+        stored_name
+        for stored_name in context.platform.bodies_by_name
+        if stored_name.startswith('audit')
     ]
     body = context.platform.bodies_by_name[name]
     altered = body.replace(b'day-shift', b'night-shift')
     context.platform.bodies_by_name[name] = altered
-    shown = _invoke(context, 'audit', '--verify')
-    assert shown.exit_code == 6
-    assert 'record 1 was altered' in shown.output
+    result = _invoke(context, 'audit', '--verify')
+    assert result.exit_code == 6
+    assert 'record 1 was altered' in result.output
 
 
-def test_schema_knows_every_kind(context: _Context) -> None:
+def test_schema_has_every_kind_of_the_example(context: _Context) -> None:
     schema = json.loads(_invoke(context, 'schema').output)
     properties = schema['$defs']['ObjectSet']['properties']
     assert set(json.loads(EXAMPLE.read_bytes())) <= set(properties)
 
 
 @pytest.mark.parametrize('name', sorted(COMMANDS))
-def test_help_is_worth_reading(name: str, context: _Context) -> None:
+def test_help_describes_each_command(name: str, context: _Context) -> None:
     assert len(_invoke(context, name, '--help').output) > 200
 
 
-def _validate(context: _Context, path, form: str, told: object):
-    path.write_text(json.dumps(told))
+def _validate(context: _Context, path, form: str, document: object):
+    path.write_text(json.dumps(document))
     return _invoke(context, 'validate', path, '--form', form)
 
 
-def test_validate_checks_what_the_platform_gives(
+def test_validate_checks_platform_manifest_and_settings(
     context: _Context, tmp_path: Path
 ) -> None:
     path = tmp_path / 'given.json'
-    shown = _validate(context, path, 'platform-manifest', manifest())
-    assert shown.exit_code == 0
-    assert 'version 1, 5 routes' in shown.output
-    shown = _validate(context, path, 'platform-manifest', {'version': 'x'})
-    assert shown.exit_code == 2
-    assert '$.version' in shown.output
-    shown = _validate(context, path, 'platform-settings', {'node_name': 'n'})
-    assert shown.exit_code == 2
-    assert 'given.json' in shown.output
-    assert 'ip' in shown.output
-
-
-def test_validate_finds_routes_that_lead_nowhere(
+    result = _validate(context, path, 'platform-manifest', manifest())
+    assert result.exit_code == 0
+    assert 'version 1, 5 routes' in result.output
+    result = _validate(context, path, 'platform-manifest', {'version': 'x'})
+    assert result.exit_code == 2
+    assert '$.version' in result.output
+    result = _validate(context, path, 'platform-settings', {'node_name': 'n'})
+    assert result.exit_code == 2
+    assert 'given.json' in result.output
+    assert 'ip' in result.output
+
+
+def test_validate_finds_invalid_and_duplicate_routes(
     context: _Context, tmp_path: Path
 ) -> None:
-    told = manifest()
-    told['routes'][0]['service'] = 'nobody'
-    told['routes'][1]['path_prefix'] = '/odd'
-    told['routes'].append(told['routes'][2])
+    document = manifest()
+    document['routes'][0]['service'] = 'nobody'
+    document['routes'][1]['path_prefix'] = '/odd'
+    document['routes'].append(document['routes'][2])
     path = tmp_path / 'manifest.json'
-    shown = _validate(context, path, 'platform-manifest', told)
-    assert shown.exit_code == 2
+    result = _validate(context, path, 'platform-manifest', document)
+    assert result.exit_code == 2
     for part in ("'nobody', expected ", "'/odd'", 'stand there twice'):
-        assert part in shown.output
+        assert part in result.output
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,3 +1,8 @@
+"""Invalid settings files raise errors that name path, value and expectation.
+
+Errors show the length of an invalid key instead of the key.
+"""
+
 import json
 from pathlib import Path
 
@@ -68,7 +73,7 @@
         ({'keys': {'tls_key_file': 'x'}}, '$.keys.tls_certificate_file: ""'),
     ],
 )
-def test_faults_name_path_value_and_expectation(
+def test_errors_name_path_value_and_expectation(
     changes: dict[str, object], message: str
 ) -> None:
     with pytest.raises((SettingsError, ExceptionGroup)) as caught:
@@ -80,7 +85,7 @@
     assert _SECRET not in ''.join(texts) or 'public key of' in message
 
 
-def test_several_faults_are_told_at_once() -> None:
+def test_all_problems_are_reported_together() -> None:
     document = _entry(lisen=1, peers=3, limits={'bodybytes': 2})
     with pytest.raises(ExceptionGroup) as caught:
         _parse(document)
@@ -98,7 +103,7 @@
         ),
     ],
 )
-def test_exposed_address_needs_keys(
+def test_address_off_loopback_requires_keys(
     keys: dict[str, str], missing: list[str]
 ) -> None:
     place = {'address': '10.0.0.1:7', 'region': 'r', 'failure_domain': 'f'}
@@ -111,31 +116,33 @@
 
 
 @pytest.mark.parametrize('encoded', [b'', b'{', b'\xff', b'[' * 5000, b'1'])
-def test_text_that_is_no_settings(encoded: bytes) -> None:
+def test_invalid_documents_raise_a_settings_error(encoded: bytes) -> None:
     with pytest.raises(SettingsError):
         parse_settings(encoded, EntrySettings, path=_PATH)
 
 
-def test_large_file_is_refused_unread(tmp_path: Path) -> None:
+def test_file_above_the_size_limit_is_refused(tmp_path: Path) -> None:
     path = tmp_path / 'large.json'
     path.write_bytes(b' ' * 2_000_000)
     with pytest.raises(SettingsError, match='at most 1048576 bytes'):
         load_settings(path, EntrySettings)
 
 
-def test_command_exits_with_code_2(tmp_path: Path) -> None:
+def test_command_prints_a_line_per_problem_and_exits_with_code_2(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / 'bad.json'
     path.write_text(json.dumps(_entry(lisen=1, peers=3)))
-    outcome = CliRunner().invoke(_CHECK, [str(path), '--role', 'entry'])
-    assert outcome.exit_code == 2
-    assert len(outcome.output.splitlines()) == 2
+    result = CliRunner().invoke(_CHECK, [str(path), '--role', 'entry'])
+    assert result.exit_code == 2
+    assert len(result.output.splitlines()) == 2
     missing = CliRunner().invoke(_CHECK, ['missing', '--role', 'agent'])
     assert (missing.exit_code, 'cannot be read' in missing.output) == (2, True)
 
 
-def test_schema_lists_fields() -> None:
-    outcome = CliRunner().invoke(_SCHEMA, ['--role', 'agent'])
-    schema = json.loads(outcome.output)
+def test_printed_schema_lists_the_fields() -> None:
+    result = CliRunner().invoke(_SCHEMA, ['--role', 'agent'])
+    schema = json.loads(result.output)
     properties = schema['$defs']['AgentSettings']['properties']
     assert 'flush_interval_ms' in properties
 
