--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -40,12 +40,12 @@
     shrinks: bool,
 ) -> None:
     """Play faults against the real programs and check what they promise."""
-    # Ended from outside, it still ends its processes.
+    # SIGTERM raises KeyboardInterrupt, so that the child processes are ended.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     drawn = _kinds(kinds)
     failed = False
-    for one in range(seed, seed + seeds):
-        plan = Plan.from_seed(one, minutes * 60, processes, drawn)
+    for plan_seed in range(seed, seed + seeds):
+        plan = Plan.from_seed(plan_seed, minutes * 60, processes, drawn)
         findings = _report(plan)
         if findings and shrinks:
             _show_fewer(plan, findings)
@@ -53,12 +53,12 @@
     sys.exit(1 if failed else 0)
 
 
-def _kinds(told: str) -> tuple[FaultKind, ...]:
-    if not told:
+def _kinds(names: str) -> tuple[FaultKind, ...]:
+    if not names:
         return tuple(FaultKind)
     valid = ', '.join(FaultKind)
     try:
-        return tuple(FaultKind(one.strip()) for one in told.split(','))
+        return tuple(FaultKind(name.strip()) for name in names.split(','))
     except ValueError as error:
         raise click.BadParameter(f'{error}; valid ones: {valid}') from error
 
@@ -69,7 +69,7 @@
 
 
 def _report(plan: Plan) -> list[Finding]:
-    """Play a plan, print what came of it and return what was broken."""
+    """Play a plan, print the result and return the findings."""
     soak, records = _play(plan)
     findings = findings_of(records)
     _show_counts(plan, records)
@@ -80,14 +80,14 @@
 
 
 def _show_counts(plan: Plan, records: Records) -> None:
-    count_by_kind = Counter(asked.kind.name for asked in records.asked)
+    count_by_kind = Counter(call.kind.name for call in records.asked)
     kinds = ', '.join(
         f'{name.lower()} {count}' for name, count in count_by_kind.items()
     )
-    whole = sum(one.ending is Ending.WHOLE for one in records.asked)
+    whole_count = sum(call.ending is Ending.WHOLE for call in records.asked)
     click.echo(
         f'seed {plan.seed}: {len(records.asked)} requests ({kinds}),'
-        f' {whole} whole, {len(records.ran)} runs',
+        f' {whole_count} whole, {len(records.ran)} runs',
     )
     click.echo(
         f'  {len(plan.faults)} faults, {len(records.published)} versions',
@@ -97,7 +97,7 @@
 def _show(plan: Plan, soak: Soak, findings: list[Finding]) -> None:
     processes = plan.entries + plan.runners + 1
     click.echo(
-        f'  again: python -m soak --seed {plan.seed}'
+        f'  to repeat: python -m soak --seed {plan.seed}'
         f' --minutes {plan.seconds / 60:g} --processes {processes}',
     )
     for line in soak.timeline:
@@ -105,16 +105,16 @@
     lines_by_request = soak.records.lines_by_request
     for finding in findings[:_SHOWN_MAX]:
         click.echo(f'  {finding.rule}: {finding.detail} {finding.request}')
-        for asked in soak.records.asked:
-            if finding.request and asked.request == finding.request:
-                click.echo(f'    {asked}'[:600])
+        for call in soak.records.asked:
+            if finding.request and call.request == finding.request:
+                click.echo(f'    {call}'[:600])
         for line in lines_by_request.get(finding.request, ())[:_LINES_MAX]:
             click.echo(f'    {line}')
 
 
 def _show_fewer(plan: Plan, findings: list[Finding]) -> None:
     rules = frozenset(finding.rule for finding in findings)
-    click.echo('  fewer faults that still fail:')
+    click.echo('  smaller set of faults that still fails:')
     for fault in shrink(plan.faults, partial(_breaks, plan, rules)):
         click.echo(f'  {fault}')
 
@@ -124,7 +124,7 @@
     rules: frozenset[str],
     faults: tuple[Fault, ...],
 ) -> bool:
-    """Return whether these faults alone break one of the rules again."""
+    """Return whether these faults alone violate one of the rules again."""
     _, records = _play(plan.only(faults))
     return any(finding.rule in rules for finding in findings_of(records))
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, with a client of HTTP that is not the product's."""
+"""Callers of a soak, with an HTTP client that is independent of the product."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from soak.records import Asked, Ending, Kind
 from standins.platform_runner import REQUEST_ID, SEAL
 
-# A stream of the stand-ins lasts about 3 s; twice that leaves time to go on
-# elsewhere after a loss.
+# Deadline of a stream. A stream of the stand-ins lasts about 3 s; more than
+# twice that leaves time to resume at another back end after a loss.
 STREAM_TIME_MS = 15_000
 PLAIN_TIME_MS = 1500
-# Beyond its time limit, a caller waits this long for a last word.
+# Time that a caller waits for an answer after the deadline of its request.
 LAST_WORD_MS = 3000
-# Share of the requests whose caller leaves within a second.
+# Fraction of the requests whose caller disconnects within a second.
 LEAVING_SHARE = 0.1
-# Share of the requests with a key that was or will be taken away, and of
-# those that ask for a route that a version added.
+# Fraction of the requests with a key that may be revoked during the soak, and
+# fraction of the lookups for a route that a published version added.
 SPARE_KEY_SHARE = 0.2
 ADDED_ROUTE_SHARE = 0.2
-# Pause while no entry is in the balancer's rotation.
+# Delay before callers look again while the balancer's rotation is empty.
 NO_PLACE_MS = 50
 _DRAWN_KINDS = (
     *(Kind.STREAM,) * 5,
@@ -38,7 +38,7 @@
 
 @dataclass
 class Answer:
-    """What came on a connection."""
+    """The answer received on a connection, as far as it came."""
 
     status: int = 0
     sealed: bool = False
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Where an entry listens, and which of its processes is meant."""
+    """Address of an entry, and the number of starts of its process."""
 
     name: str
     address: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Choices:
-    """What callers may ask for now."""
+    """Entries, paths and keys that callers may choose from now."""
 
     places: Callable[[], Sequence[Place]]
     added_paths: Callable[[], Sequence[str]]
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """One request before it is sent."""
+    """A request to be sent."""
 
     name: str
     kind: Kind
@@ -77,11 +77,11 @@
 
     @property
     def time_ms(self) -> float:
-        """Return the caller's time limit."""
+        """Return the deadline of the request."""
         return STREAM_TIME_MS if self.kind.is_stream else PLAIN_TIME_MS
 
     def encode(self) -> bytes:
-        """Return the bytes to send."""
+        """Return the request as bytes of HTTP/1.1."""
         method = 'GET' if self.kind is Kind.LOOKUP else 'POST'
         lines = [
             f'{method} {self.path}x HTTP/1.1',
@@ -99,7 +99,7 @@
 
 
 class Caller:
-    """Sends one request after another, often on a kept connection."""
+    """Sends one request after another, on a persistent connection if it can."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Call until cancelled."""
+        """Send requests until cancelled."""
         number = 0
         try:
             while True:
@@ -139,8 +139,8 @@
         key = self._choices.lasting_key
         if rng.random() < SPARE_KEY_SHARE:
             key = rng.choice(self._choices.other_keys)
-        leaves = rng.random() < LEAVING_SHARE
-        leaves_after_ms = rng.uniform(100, 1000) if leaves else None
+        is_leaving = rng.random() < LEAVING_SHARE
+        leaves_after_ms = rng.uniform(100, 1000) if is_leaving else None
         name = f'{self._name}-{number}'
         return Request(name, kind, path, key, leaves_after_ms)
 
@@ -169,9 +169,10 @@
             self._close()
 
     async def _choose_place(self) -> Place:
-        """Return the entry to ask; the last one until it closes.
+        """Return the entry for the next request.
 
-        A connection that is open outlives the place in the balancer's rotation.
+        It is the last one while its connection is open, even if the balancer
+        has removed it from its rotation since.
         """
         if self._reader is not None and not self._reader.at_eof():
             return self._place
@@ -189,13 +190,13 @@
         place: Place,
         answer: Answer,
     ) -> Ending:
-        leaves_ms = request.leaves_after_ms
-        limit_ms = leaves_ms or request.time_ms + LAST_WORD_MS
+        leaves_after_ms = request.leaves_after_ms
+        timeout_ms = leaves_after_ms or request.time_ms + LAST_WORD_MS
         try:
-            async with asyncio.timeout(limit_ms / _MS_PER_S):
+            async with asyncio.timeout(timeout_ms / _MS_PER_S):
                 return await self._exchange(request, place, answer)
         except TimeoutError:
-            return Ending.LEFT if leaves_ms else Ending.UNANSWERED
+            return Ending.LEFT if leaves_after_ms else Ending.UNANSWERED
         except (OSError, ValueError, asyncio.IncompleteReadError):
             return Ending.CUT
 
@@ -207,11 +208,11 @@
     ) -> Ending:
         if self._writer is None:
             try:
-                opened = await connect(place.address)
+                connection = await connect(place.address)
             except OSError:
                 return Ending.UNCONNECTED
-            self._reader = opened[0]
-            self._writer = opened[1]
+            self._reader = connection[0]
+            self._writer = connection[1]
         assert self._reader is not None
         self._writer.write(request.encode())
         await self._writer.drain()
@@ -227,14 +228,14 @@
 
 
 async def _read_answer(reader: asyncio.StreamReader, answer: Answer) -> None:
-    """Read a whole answer; an end before its end is an error."""
+    """Read an answer into `answer`; raise if the connection ends before it."""
     head = await reader.readuntil(b'\r\n\r\n')
-    first, _, rest = head.partition(b'\r\n')
-    answer.status = int(first.split(b' ')[1])
+    status_line, _, header_lines = head.partition(b'\r\n')
+    answer.status = int(status_line.split(b' ')[1])
     headers = {}
-    for line in rest.split(b'\r\n'):
-        name, _, told = line.partition(b':')
-        headers[name.strip().lower()] = told.strip()
+    for line in header_lines.split(b'\r\n'):
+        name, _, header_value = line.partition(b':')
+        headers[name.strip().lower()] = header_value.strip()
     answer.sealed = SEAL in headers
     answer.keeps = headers.get(b'connection') != b'close'
     if headers.get(b'transfer-encoding') == b'chunked':
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -32,5 +32,5 @@
     records: Records,
     checks: Iterable[Check] = CHECKS,
 ) -> list[Finding]:
-    """Return all that speaks against the rules."""
+    """Run the checks and return their findings."""
     return [finding for check in checks for finding in check(records)]
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The processes of a soak and what the operator publishes."""
+"""The processes of a soak, and the versions published to them."""
 
 from __future__ import annotations
 
@@ -34,15 +34,16 @@
     entry_settings,
 )
 
-# Long enough that a kill or a reset meets plain requests at work.
+# Run time of a plain request, long enough that kills and resets happen while
+# plain requests run.
 PLAIN_WORK_MS = 300
 KEYS = tuple(f'key-{number}' for number in range(12))
-# The first key is never taken away.
+# The first key is never revoked.
 LASTING_KEY = KEYS[0]
 _READY_S = 15
 _REST_S = 1.0
 _MS_PER_S = 1000
-# Networks of loopback that soaks side by side take, by process.
+# Concurrent soaks use different loopback networks, 127.N, chosen by process id.
 _STORE_PORT = 8000
 _NETWORK_MIN = 20
 _NETWORKS = 200
@@ -50,7 +51,7 @@
 
 @dataclass
 class EntryNode:
-    """An entry, its link to the store, and whether callers may choose it."""
+    """An entry, its link to the store, and whether it is in rotation."""
 
     program: Program
     place_ip: str
@@ -60,14 +61,14 @@
 
     @property
     def place(self) -> Place:
-        """Return where it listens now."""
+        """Return the address and incarnation of the entry."""
         address = f'{self.place_ip}:{FRONT_PORT}'
         return Place(self.program.name, address, self.program.life)
 
 
 @dataclass
 class RunnerNode:
-    """A runner behind its link."""
+    """A runner and the link through which entries reach it."""
 
     program: Program
     link: LoopbackProxy
@@ -77,17 +78,17 @@
 
     @property
     def instance(self) -> str:
-        """Return the name of its present process."""
+        """Return the name of the current process."""
         return f'{self.program.name}-{self.program.life}'
 
 
 class SoakDeployment:
-    """Store, runners behind links, and entries, as processes.
+    """Starts and ends the store, runners and entries of a soak.
 
     Parameters
     ----------
     records
-        Takes what the processes tell.
+        Receives what the processes report.
     """
 
     def __init__(self, plan: Plan, records: Records, clock: Clock) -> None:
@@ -103,8 +104,8 @@
             ('soak.store_process', self._store_address),
             self._on_store_line,
         )
-        self.entries = [self._entry(one) for one in range(plan.entries)]
-        self.runners = [self._runner(one) for one in range(plan.runners)]
+        self.entries = [self._entry(number) for number in range(plan.entries)]
+        self.runners = [self._runner(number) for number in range(plan.runners)]
         self._version = 0
         self._added: tuple[str, ...] = ()
         self._pending: dict[str, Published] = {}
@@ -129,7 +130,7 @@
 
     async def end(self) -> None:
         """End all processes."""
-        # What callers have left behind still ends at the back ends.
+        # Runs whose callers have left may still end at the back ends.
         await asyncio.sleep(_REST_S)
         programs = [
             self.store,
@@ -144,7 +145,7 @@
         self._folder.cleanup()
 
     async def start_runner(self, runner: RunnerNode) -> None:
-        """Start a runner as another incarnation and list it."""
+        """Start a runner as a new incarnation and write its row."""
         program = runner.program
         address = str(program.arguments[1])
         instance = f'{program.name}-{program.life + 1}'
@@ -153,7 +154,7 @@
         await self.list_runner(runner, 'ready')
 
     async def list_runner(self, runner: RunnerNode, state: str) -> None:
-        """Write a runner's row."""
+        """Write the row of a runner to the store."""
         row = runner_row(
             runner.link.address,
             runner.service,
@@ -166,7 +167,10 @@
         )
 
     async def offer_once_ready(self, entry: EntryNode) -> None:
-        """Let callers choose an entry once it says that it is ready."""
+        """Put an entry into rotation once it reports that it is ready.
+
+        Gives up after `_READY_S` seconds, or when the process ends.
+        """
         end_ms = self.clock.now_ms() + _READY_S * _MS_PER_S
         while self.clock.now_ms() < end_ms and entry.program.is_running:
             if await _is_ready(entry.place_ip):
@@ -179,28 +183,28 @@
         await self.store.order(encode_order(order))
 
     async def publish(self, path: str = '', revoked: str = '') -> None:
-        """Publish a version that adds a route or takes a key away."""
+        """Publish a version that adds a route or revokes a key."""
         self._version += 1
         if revoked:
             self.keys.remove(revoked)
         if path:
             self._added = (*self._added, path)
-        told = manifest(
+        manifest_content = manifest(
             self._version,
             tuple(self.keys),
             tuple(
-                route_of(one, 'idempotent', PLAIN, timeout_ms=1500)
-                for one in self._added
+                route_of(prefix, 'idempotent', PLAIN, timeout_ms=1500)
+                for prefix in self._added
             ),
         )
         mark = f'version-{self._version}'
         self._pending[mark] = Published(self._version, 0, path, revoked)
         await self.order_store(
-            StoreOrder('op', 'config', told, mark=mark),
+            StoreOrder('op', 'config', manifest_content, mark=mark),
         )
 
     def close_records(self) -> None:
-        """Add what has no end yet."""
+        """Record the runs that have not ended."""
         for (runner, request), at_ms in self._open_runs.items():
             self.records.ran.append(Ran(request, runner, at_ms))
 
@@ -213,70 +217,76 @@
             self._store_address,
         )
         zone = list(ZONES)[number % len(ZONES)]
-        path = pathlib.Path(self._folder.name) / f'entry{number}.json'
-        told = entry_settings(
+        settings_file = pathlib.Path(self._folder.name) / f'entry{number}.json'
+        settings = entry_settings(
             f'entry{number}',
             place_ip,
             zone,
             link.address,
         )
-        path.write_text(json.dumps(told))
+        settings_file.write_text(json.dumps(settings))
         program = Program(
             f'entry{number}',
             ('bergamotthread.platform',),
             self._on_log_line,
-            {'BERGAMOTTHREAD_CONFIG': str(path)},
+            {'BERGAMOTTHREAD_CONFIG': str(settings_file)},
         )
         return EntryNode(program, place_ip, link)
 
     def _runner(self, number: int) -> RunnerNode:
-        own = f'{self._net}.3.{number + 1}:8080'
-        link = LoopbackProxy(f'{self._net}.4.{number + 1}:8080', own)
+        runner_address = f'{self._net}.3.{number + 1}:8080'
+        link = LoopbackProxy(f'{self._net}.4.{number + 1}:8080', runner_address)
         service = PLAIN if number % 3 == 2 else MODEL
         zone = list(ZONES)[number // 3 % len(ZONES)]
         name = f'runner{number}'
         program = Program(
             name,
-            _runner_arguments(own, f'{name}-1'),
+            _runner_arguments(runner_address, f'{name}-1'),
             lambda line: self._on_run_line(name, line),
         )
         return RunnerNode(program, link, service, zone)
 
-    # what the processes tell
+    # lines from the processes
 
     def _on_store_line(self, line: str) -> None:
         word, mark, at_ms = line.split(' ')
-        told = self._pending.pop(mark, None)
-        if word != DONE or told is None:
+        publication = self._pending.pop(mark, None)
+        if word != DONE or publication is None:
             return
         self.records.published.append(
-            Published(told.version, float(at_ms), told.path, told.revoked),
+            Published(
+                publication.version,
+                float(at_ms),
+                publication.path,
+                publication.revoked,
+            ),
         )
-        if told.path:
-            self.paths.append(told.path)
+        if publication.path:
+            self.paths.append(publication.path)
 
     def _on_run_line(self, runner: str, line: str) -> None:
-        word, request, at = line.split(' ')
-        at_ms = float(at)
+        word, request, time_text = line.split(' ')
+        at_ms = float(time_text)
         started_ms = self._open_runs.pop((runner, request), None)
         if word == ENDED:
             started_ms = at_ms if started_ms is None else started_ms
             self.records.ran.append(Ran(request, runner, started_ms, at_ms))
             return
         if started_ms is not None:
-            # Its process was killed, and the next one runs it again.
+            # The process was killed during the run, and its successor runs the
+            # request again.
             self.records.ran.append(Ran(request, runner, started_ms))
         self._open_runs[runner, request] = at_ms
 
     def _on_log_line(self, line: str) -> None:
         try:
-            told = json.loads(line)
+            fields = json.loads(line)
         except json.JSONDecodeError:
-            # The last line of a process that was killed.
+            # A killed process may leave its last line incomplete.
             return
-        if told['event'] == 'log-lines-dropped':
-            self.records.dropped_lines += told['count']
-        request = told.get('request')
+        if fields['event'] == 'log-lines-dropped':
+            self.records.dropped_lines += fields['count']
+        request = fields.get('request')
         if request:
             lines = self.records.lines_by_request.setdefault(request, [])
             lines.append(line)
@@ -287,7 +297,7 @@
 
 
 def _free_network() -> str:
-    """Return the start of addresses of loopback that no other soak uses."""
+    """Return the first two numbers of a loopback network that is free."""
     for number in range(os.getpid(), os.getpid() + _NETWORKS):
         network = f'127.{_NETWORK_MIN + number % _NETWORKS}'
         with socket.socket() as probe:
@@ -296,11 +306,11 @@
             except OSError:
                 continue
         return network
-    raise OSError(f'no free network of loopback, {_NETWORKS} were tried')
+    raise OSError(f'no free loopback network among {_NETWORKS} tried')
 
 
 async def _is_ready(ip: str) -> bool:
-    """Ask as the balancer does."""
+    """Probe readiness as the balancer does."""
     try:
         async with asyncio.timeout(0.5):
             reader, writer = await connect(f'{ip}:{READY_PORT}')
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""How each kind of fault is played on the processes of a soak."""
+"""Plays each kind of fault on the processes of a soak."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from soak.records import Killed, Stopped
 from standins.platform_settings import GRACE_S
 
-# A balancer asks each second and takes a process out after two misses.
+# Time until the balancer removes a stopping process from its rotation: it
+# probes each second and removes a process after two failed probes.
 OUT_OF_ROTATION_S = 2.0
 OUT_AFTER_KILL_S = 0.5
-# Rows of a runner that ended lapse after this time.
+# Time after which the platform removes the row of a runner that has ended.
 LAPSE_S = 2.0
 LATE_STORE_MS = 700
 LINK_DELAY_MS = 150
 
 _Node = TypeVar('_Node', EntryNode, RunnerNode)
 
-# Faults of which one at a time may be at work on a process.
+# Faults that replace or drain a process; only one at a time may be played on a
+# process.
 _CHANGES = frozenset(
     (
         FaultKind.KILL_ENTRY,
@@ -45,7 +47,7 @@
 
 
 async def strike(soak: SoakDeployment, fault: Fault) -> None:
-    """Play a fault; returns once it is over."""
+    """Play a fault and return once it is over."""
     on_entry = _ON_ENTRY.get(fault.kind)
     on_runner = _ON_RUNNER.get(fault.kind)
     if on_entry is not None:
@@ -62,7 +64,11 @@
     fault: Fault,
     action: Callable[[SoakDeployment, _Node, Fault], Awaitable[None]],
 ) -> None:
-    """Play a fault on a process, unless it is being replaced or drained."""
+    """Play a fault on a process.
+
+    A fault that replaces or drains the process is skipped while another such
+    fault is in progress.
+    """
     if fault.kind not in _CHANGES:
         await action(soak, node, fault)
         return
@@ -96,9 +102,9 @@
     await asyncio.sleep(OUT_OF_ROTATION_S)
     entry.is_offered = False
     ended_ms: float | None = None
-    left_s = GRACE_S - OUT_OF_ROTATION_S
+    remaining_s = GRACE_S - OUT_OF_ROTATION_S
     try:
-        async with asyncio.timeout(left_s + 1):
+        async with asyncio.timeout(remaining_s + 1):
             await entry.program.wait()
         ended_ms = soak.clock.now_ms()
     except TimeoutError:
@@ -138,11 +144,11 @@
 async def _kill_runner(
     soak: SoakDeployment, runner: RunnerNode, fault: Fault
 ) -> None:
-    former = runner.instance
+    ended_instance = runner.instance
     runner.program.signal(signal.SIGKILL)
     await runner.program.wait()
     await asyncio.sleep(min(fault.for_s, LAPSE_S))
-    await soak.order_store(StoreOrder('servers', former))
+    await soak.order_store(StoreOrder('servers', ended_instance))
     await asyncio.sleep(max(fault.for_s - LAPSE_S, 0))
     await soak.start_runner(runner)
 
@@ -181,8 +187,8 @@
     fault: Fault,
 ) -> None:
     is_up = fault.kind is FaultKind.CUT_LINK_UP
-    way = runner.link.up if is_up else runner.link.down
-    way.is_open.clear()
+    direction = runner.link.up if is_up else runner.link.down
+    direction.is_open.clear()
     await asyncio.sleep(fault.for_s)
     runner.link.heal()
 
--- a/soak/findings.py
+++ b/soak/findings.py
@@ -1,24 +1,25 @@
-"""What a check returns, and the times that several checks allow."""
+"""Result type of the checks, and time limits that several checks share."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Time that a machine without a fault has had before it counts as calm; the
-# rules of the platform give 3 to 5 s.
+# Time after a fault until the deployment counts as undisturbed again; the
+# platform's rules allow 3 to 5 s for this.
 SETTLE_MS = 5000
-# Time for the processes of a busy machine to do what they do at once.
+# Margin for processes that are delayed because the machine is busy.
 BUSY_MS = 1000
 
 
 @dataclass(frozen=True)
 class Finding:
-    """A rule that was broken.
+    """A violation of a rule.
 
     Parameters
     ----------
     request
-        Identifier of the request that shows it; empty if there is none.
+        Identifier of the request that shows the violation; empty if it is not
+        about one request.
     """
 
     rule: str
--- a/soak/orders.py
+++ b/soak/orders.py
@@ -1,4 +1,4 @@
-"""Orders that a soak sends to its stand-ins, as lines on standard input."""
+"""Orders to the stand-ins of a soak, sent as lines to their standard input."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 
 
 class StoreOrder(msgspec.Struct, frozen=True):
-    """What the store does from now on.
+    """Sets a row of the store, or its faults from now on.
 
     Parameters
     ----------
     table, key, row
-        A row to write, or to remove where `row` is none; no row if the table
-        is empty.
+        Row to write, or to remove if `row` is ``None``. If `table` is empty,
+        the order changes no row and sets the faults.
     status, late_ms, loses_answers
-        As `StoreStandIn` has them.
+        See `StoreStandIn`.
     forgets
-        Whether the history is dropped now.
+        Whether to drop the history of changes now.
     mark
-        Told back with the time once the order is carried out.
+        Name that the store writes with the time once the order is carried
+        out; empty for no such line.
     """
 
     table: str = ''
@@ -39,7 +40,7 @@
 
 
 class RunnerOrder(msgspec.Struct, frozen=True):
-    """How a runner behaves from now on, as `RunnerScript` has it."""
+    """Sets the behaviour of a runner from now on; see `RunnerScript`."""
 
     not_run: bool = False
     stalls_after: int | None = None
@@ -47,12 +48,12 @@
 
 
 def encode_order(order: StoreOrder | RunnerOrder) -> bytes:
-    """Return the line of an order."""
+    """Return an order as one line of JSON."""
     return b'%b\n' % msgspec.json.encode(order)
 
 
 async def orders_of(kind: type[_Order]) -> AsyncIterator[_Order]:
-    """Yield the orders on standard input until it ends."""
+    """Yield the orders read from standard input until it ends."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader),
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -9,7 +9,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What is done to a process or to the way to it."""
+    """Kind of fault of a process, its connections or the configuration."""
 
     KILL_ENTRY = 'kill-entry'
     STOP_ENTRY = 'stop-entry'
@@ -34,7 +34,7 @@
     REVOKE_KEY = 'revoke-key'
 
 
-# Work that an operator plans; no disturbance.
+# Operations that an operator plans; they do not count as disturbances.
 PLANNED = frozenset(
     (
         FaultKind.STOP_ENTRY,
@@ -56,9 +56,10 @@
 # Quiet time at the start and at the end of a soak.
 LEAD_S = 2.0
 REST_S = 3.0
-# After a storm of all kinds comes planned work alone, with calm before and
-# after it, so that what holds only in calm is checked too. The calm is longer
-# than the longest fault and the time to settle after it.
+# In each cycle, a phase with faults of all kinds is followed by a phase with
+# planned operations only. No faults start before and after the second phase, so
+# that rules that hold only without disturbance are checked too. These gaps are
+# longer than the longest fault and the time to settle after it.
 STORM_S = 9.0
 PLANNED_FROM_S = 22.0
 PLANNED_S = 5.0
@@ -69,14 +70,14 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault.
+    """A fault to play on an entry, a runner or the store.
 
     Parameters
     ----------
     at_s, for_s
-        Start after the soak's, and duration.
+        Start, counted from the start of the soak, and duration.
     target
-        Index of the entry or the runner; unused for the others.
+        Index of the entry or the runner; unused by faults of the store.
     """
 
     at_s: float
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Faults in order of time."""
+    """The faults of a soak, ordered by start time."""
 
     seed: int
     seconds: float
@@ -110,25 +111,25 @@
         processes: int,
         kinds: Sequence[FaultKind] = (),
     ) -> Plan:
-        """Draw a plan; a fourth of the processes are entries.
+        """Draw a plan from a seed; a quarter of the processes are entries.
 
         Parameters
         ----------
         kinds
-            Kinds to draw from; all if there are none.
+            Kinds to draw from; all kinds if empty.
         """
         rng = random.Random(seed)
-        drawn = tuple(kinds) or tuple(FaultKind)
+        kinds_drawn = tuple(kinds) or tuple(FaultKind)
         entries = max(2, processes // 4)
         runners = max(3, processes - entries - 1)
         faults: list[Fault] = []
         at_s = LEAD_S
         while at_s < seconds - REST_S:
-            fitting = _kinds_at(at_s, drawn)
-            if not fitting:
+            allowed_kinds = _kinds_at(at_s, kinds_drawn)
+            if not allowed_kinds:
                 at_s += 1
                 continue
-            kind = rng.choice(fitting)
+            kind = rng.choice(allowed_kinds)
             count = entries if kind in _OF_ENTRIES else runners
             for_s = round(rng.uniform(*_FOR_S), 2)
             faults.append(
@@ -138,7 +139,7 @@
         return cls(seed, seconds, entries, runners, tuple(faults))
 
     def only(self, faults: Sequence[Fault]) -> Plan:
-        """Return the plan with these faults alone."""
+        """Return a copy of the plan with only these faults."""
         return Plan(
             self.seed,
             self.seconds,
@@ -152,7 +153,7 @@
     at_s: float,
     kinds: Sequence[FaultKind],
 ) -> tuple[FaultKind, ...]:
-    """Return the kinds that may begin at a time of the soak."""
+    """Return the kinds of fault that may start at this time of the soak."""
     phase_s = (at_s - LEAD_S) % CYCLE_S
     if phase_s < STORM_S:
         return tuple(kinds)
@@ -165,22 +166,24 @@
     faults: tuple[Fault, ...],
     still_fails: Callable[[tuple[Fault, ...]], bool],
 ) -> tuple[Fault, ...]:
-    """Return fewer faults that still fail, by leaving out ever smaller parts.
+    """Remove faults that are not needed for a failure.
+
+    Leaves out ever smaller groups of faults as long as the rest still fails.
 
     Parameters
     ----------
     still_fails
-        Plays a list of faults; a failure that comes and goes may leave more
-        faults than are needed, never fewer.
+        Plays the faults and returns whether they fail. If it is flaky, more
+        faults than needed may be left, never fewer.
     """
-    size = max(len(faults) // 2, 1)
-    while size:
+    group_size = max(len(faults) // 2, 1)
+    while group_size:
         start = 0
         while start < len(faults):
-            fewer = faults[:start] + faults[start + size :]
-            if fewer and still_fails(fewer):
-                faults = fewer
+            candidate = faults[:start] + faults[start + group_size :]
+            if candidate and still_fails(candidate):
+                faults = candidate
             else:
-                start += size
-        size //= 2
+                start += group_size
+        group_size //= 2
     return faults
--- a/soak/programs.py
+++ b/soak/programs.py
@@ -1,4 +1,4 @@
-"""Processes of a soak, started and signalled by id."""
+"""Child processes of a soak."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass
 class Program:
-    """One process, its lines on standard output, and its memory.
+    """A child process that runs a Python module; may be started repeatedly.
 
     Parameters
     ----------
     folder
-        Where it runs; where this process does if none is given.
+        Working directory; that of this process if ``None``.
     life
-        Number of times that it was started.
+        Number of times that the process was started.
     """
 
     name: str
@@ -61,32 +61,32 @@
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process runs."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.is_running:
             self.process.send_signal(number)
 
     async def order(self, line: bytes) -> None:
-        """Send a line to the process."""
+        """Write a line to the standard input of the process."""
         if self.process is None or self.process.stdin is None:
             return
         self.process.stdin.write(line)
 
     async def wait(self) -> None:
-        """Wait for the end of the process and of what it wrote."""
+        """Wait until the process has ended and its output is read."""
         if self.process is not None:
             await self.process.wait()
         if self._reading is not None:
             await self._reading
 
     async def end(self) -> None:
-        """End the process for good."""
+        """Kill the process, also if it is stopped, and wait for its end."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         async with asyncio.timeout(_END_S):
             await self.wait()
 
     def memory_mb(self) -> float | None:
-        """Return the resident memory, or none if it does not run."""
+        """Return the resident memory, or ``None`` if it is not running."""
         if self.process is None or not self.is_running:
             return None
         try:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, resets, cuts and silences connections."""
+"""A loopback proxy that delays, resets and cuts connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from bergamotthread.testing.loopback import connect
 
 _CHUNK_BYTES = 65_536
-# Closes with a reset instead of an end of the stream.
+# SO_LINGER value: closing sends a reset instead of the end of the stream.
 _RESET_ON_CLOSE = struct.pack('ii', 1, 0)
 _MS_PER_S = 1000
 
@@ -24,15 +24,15 @@
 
 
 class LoopbackProxy:
-    """Carries connections from an address of its own to a target's.
+    """Forwards connections from its own address to a target address.
 
-    A direction that is cut holds what is sent, as a network does that drops
-    packets until it heals.
+    A cut direction holds back what is sent until `heal`, as a network does that
+    drops packets until it recovers.
 
     Parameters
     ----------
     delay_ms
-        Time that each part waits, in each direction.
+        Delay of each chunk, in each direction.
     """
 
     def __init__(self, address: str, target: str) -> None:
@@ -46,7 +46,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         host, _, port = self.address.rpartition(':')
         self._server = await asyncio.start_server(
             self._carry,
@@ -55,18 +55,18 @@
         )
 
     def reset_all(self) -> None:
-        """Reset all connections that are open now."""
+        """Reset all open connections."""
         for writer in tuple(self._writers):
             _reset(writer)
 
     def heal(self) -> None:
-        """Undo delays and cuts."""
+        """Remove the delay and the cuts of both directions."""
         self.delay_ms = 0
         self.up.is_open.set()
         self.down.is_open.set()
 
     async def close(self) -> None:
-        """Stop and reset what is open."""
+        """Stop accepting connections and reset the open ones."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -81,16 +81,16 @@
         self._writers.add(writer)
         try:
             await self.up.is_open.wait()
-            far_reader, far_writer = await connect(self.target)
+            target_reader, target_writer = await connect(self.target)
         except OSError:
             self._drop(writer)
             return
-        self._writers.add(far_writer)
-        ways = (
-            self._pump(reader, far_writer, self.up),
-            self._pump(far_reader, writer, self.down),
+        self._writers.add(target_writer)
+        pumps = (
+            self._pump(reader, target_writer, self.up),
+            self._pump(target_reader, writer, self.down),
         )
-        tasks = [asyncio.create_task(way) for way in ways]
+        tasks = [asyncio.create_task(pump) for pump in pumps]
         self._tasks.update(tasks)
         done, _ = await asyncio.wait(
             tasks,
@@ -99,11 +99,12 @@
         for task in tasks:
             task.cancel()
         for task in done:
-            # Read, since an end of a connection is what is expected here.
+            # Retrieved so that asyncio does not log it: the end of a connection
+            # is expected here.
             task.exception()
         self._tasks.difference_update(tasks)
         self._drop(writer)
-        self._drop(far_writer)
+        self._drop(target_writer)
 
     async def _pump(
         self,
@@ -119,7 +120,7 @@
             await writer.drain()
         await way.is_open.wait()
         writer.write_eof()
-        raise ConnectionError('this end of the connection was closed')
+        raise ConnectionError('the peer closed the connection')
 
     def _drop(self, writer: asyncio.StreamWriter) -> None:
         self._writers.discard(writer)
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,6 +1,6 @@
-"""What callers, back ends and the operator saw during a soak.
+"""Records of what callers, back ends and the operator saw during a soak.
 
-All times are of the machine's monotonic clock, in milliseconds, which all
+All times are in milliseconds of the machine's monotonic clock, which all
 processes of a soak share.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What a request is for, by the prefix of its path."""
+    """Kind of request, by the prefix of its path."""
 
     STREAM = '/stream/'
     ONCE_STREAM = '/once-stream/'
@@ -20,12 +20,12 @@
 
     @property
     def runs_once(self) -> bool:
-        """Return whether it must not run twice."""
+        """Return whether a request must not run more than once."""
         return self in {Kind.ONCE, Kind.ONCE_STREAM}
 
     @property
     def is_stream(self) -> bool:
-        """Return whether its answer is a stream of events."""
+        """Return whether the answer is a stream of events."""
         return self in {Kind.STREAM, Kind.ONCE_STREAM}
 
 
@@ -41,16 +41,17 @@
 
 @dataclass(frozen=True)
 class Asked:
-    """One request and what its caller got.
+    """A request that a caller sent, and the answer it got.
 
     Parameters
     ----------
     path
-        Path asked for; another than the kind's where a version is tried.
+        Path of the request; differs from the kind's prefix if the request is
+        for a route that a published version added.
     life
-        Which process of the entry's address it was sent to.
+        Number of starts of the entry's process when the request was sent.
     sealed
-        Whether a back end's signature came with the answer.
+        Whether the answer carries a back end's signature.
     """
 
     request: str
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Ran:
-    """A run at a back end, with its end if that was seen."""
+    """A run of a request at a back end; no end if none was reported."""
 
     request: str
     runner: str
@@ -79,14 +80,14 @@
 
 @dataclass(frozen=True)
 class Published:
-    """A version that the operator published.
+    """A configuration version that the operator published.
 
     Parameters
     ----------
     path
-        Prefix of a route that it added; empty if none.
+        Path prefix of the route that the version added; empty if none.
     revoked
-        Key that it took away; empty if none.
+        Key that the version revoked; empty if none.
     """
 
     version: int
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True)
 class Struck:
-    """A fault as it was played, with the time at which it was over."""
+    """A disturbing fault that was played, with its start and end."""
 
     kind: str
     target: str
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True)
 class Stopped:
-    """A planned stop of an entry, with the end of its process."""
+    """A planned stop of an entry; no end if its process had to be killed."""
 
     entry: str
     life: int
@@ -117,7 +118,7 @@
 
 @dataclass(frozen=True)
 class Killed:
-    """An entry's process that was killed without notice."""
+    """A kill of an entry's process without notice."""
 
     entry: str
     life: int
@@ -126,7 +127,7 @@
 
 @dataclass(frozen=True)
 class Memory:
-    """Resident memory of a process over its time."""
+    """Resident memory of a process over time, as (ms, MB) points."""
 
     process: str
     points: tuple[tuple[float, float], ...]
@@ -134,7 +135,7 @@
 
 @dataclass
 class Records:
-    """All that a soak has seen."""
+    """All records of a soak."""
 
     asked: list[Asked] = field(default_factory=list)
     ran: list[Ran] = field(default_factory=list)
@@ -147,14 +148,14 @@
     dropped_lines: int = 0
 
     def runs_by_request(self) -> dict[str, list[Ran]]:
-        """Return the runs of each request, in order."""
+        """Return the runs of each request, ordered by start."""
         by_request: dict[str, list[Ran]] = {}
-        for run in sorted(self.ran, key=lambda one: one.at_ms):
+        for run in sorted(self.ran, key=lambda run: run.at_ms):
             by_request.setdefault(run.request, []).append(run)
         return by_request
 
     def is_calm(self, from_ms: float, until_ms: float) -> bool:
-        """Return whether no fault was at work in a span."""
+        """Return whether no disturbing fault was in force in a time span."""
         return not any(
             fault.at_ms <= until_ms and fault.until_ms >= from_ms
             for fault in self.struck
--- a/soak/runner_process.py
+++ b/soak/runner_process.py
@@ -1,9 +1,9 @@
-"""Runs a runner's stand-in as a process.
+"""Runs a runner stand-in as a process.
 
-Run ``python -m soak.runner_process ADDRESS INSTANCE [WORK_MS]``, where the last
-is how long a plain request is at work.
-It writes a line when a run starts and when it ends, so that a soak knows of
-runs whose process is killed.
+Usage: ``python -m soak.runner_process ADDRESS INSTANCE [WORK_MS]``, where
+``WORK_MS`` is the run time of a plain request. The process writes a line when a
+run starts and another when it ends, so that a soak also knows of runs during
+which the process was killed.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class TellingRunner(RunnerStandIn):
-    """A runner that tells of its runs and answers with the request's name."""
+    """A runner that reports its runs and answers with the request's name."""
 
     def plain_body(self, seen: Seen) -> bytes:
         """Return the request's identifier."""
         return seen.request_id
 
     async def run(self, exchange: Exchange, seen: Seen) -> None:
-        """Run a request and tell of its start and its end."""
+        """Run a request and report its start and its end."""
         self._tell(STARTED, seen)
         try:
             await super().run(exchange, seen)
@@ -37,7 +37,10 @@
             self._tell(ENDED, seen)
 
     def has_copy(self, seen: Seen) -> bool:
-        """Return whether a copy is here, which half of the requests have."""
+        """Return whether the KV cache copy that a request names is here.
+
+        Half of the requests, by the hash of their names, have a copy.
+        """
         source = seen.headers.get(b'kv-from')
         if source is None:
             return True
@@ -63,7 +66,8 @@
         runner.script.not_run = order.not_run
         runner.script.stalls_after = order.stalls_after
         runner.script.comment = order.comment
-        # A soak may last long; what was seen was told already.
+        # Requests seen were reported already; clearing them bounds the memory
+        # of a long soak.
         runner.seen.clear()
 
 
--- a/soak/session.py
+++ b/soak/session.py
@@ -1,4 +1,4 @@
-"""A soak: plays the faults beside callers and gathers what was seen."""
+"""Runs a soak: plays the faults while callers send requests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> Records:
-        """Play the plan and return what was seen."""
+        """Play the plan and return the records of what happened."""
         callers = [
             Caller(f'c{number}', self._choices(), self._clock, self._plan.seed)
             for number in range(
@@ -46,7 +46,8 @@
                 self._begin(caller.run())
             await self._play_all()
         finally:
-            # Faults that are still played may start processes.
+            # Faults still being played may start processes, so they are
+            # cancelled before the deployment ends.
             await _cancel(self._tasks)
             await self._deployment.end()
         for caller in callers:
@@ -81,35 +82,35 @@
         while True:
             now_ms = self._clock.now_ms()
             for entry in self._deployment.entries:
-                mb = entry.program.memory_mb()
-                if mb is not None:
-                    name = f'{entry.program.name}-{entry.program.life}'
-                    self._points_by_process.setdefault(name, []).append(
-                        (now_ms, mb)
+                memory_mb = entry.program.memory_mb()
+                if memory_mb is not None:
+                    process_name = f'{entry.program.name}-{entry.program.life}'
+                    self._points_by_process.setdefault(process_name, []).append(
+                        (now_ms, memory_mb)
                     )
             await asyncio.sleep(_SAMPLE_S)
 
     async def _play_all(self) -> None:
         start_ms = self._clock.now_ms()
-        plays: list[asyncio.Task[None]] = []
+        fault_tasks: list[asyncio.Task[None]] = []
         for fault in self._plan.faults:
             await self._sleep_until(start_ms, fault.at_s)
-            plays.append(self._begin(self._play(fault)))
+            fault_tasks.append(self._begin(self._play(fault)))
         await self._sleep_until(start_ms, self._plan.seconds)
-        await asyncio.gather(*plays)
+        await asyncio.gather(*fault_tasks)
 
     async def _sleep_until(self, start_ms: float, at_s: float) -> None:
-        left_ms = start_ms + at_s * _MS_PER_S - self._clock.now_ms()
-        await self._clock.sleep_ms(max(left_ms, 0))
+        remaining_ms = start_ms + at_s * _MS_PER_S - self._clock.now_ms()
+        await self._clock.sleep_ms(max(remaining_ms, 0))
 
     async def _play(self, fault: Fault) -> None:
         at_ms = self._clock.now_ms()
         self.timeline.append(str(fault))
         await strike(self._deployment, fault)
         if fault.kind not in PLANNED:
-            over_ms = self._clock.now_ms()
+            until_ms = self._clock.now_ms()
             self.records.struck.append(
-                Struck(fault.kind, str(fault.target), at_ms, over_ms),
+                Struck(fault.kind, str(fault.target), at_ms, until_ms),
             )
 
 
--- a/soak/store_process.py
+++ b/soak/store_process.py
@@ -1,4 +1,4 @@
-"""Runs the store's stand-in as a process: `python -m soak.store_process`."""
+"""Runs the store stand-in as a process: `python -m soak.store_process`."""
 
 from __future__ import annotations
 
--- a/soak/system_checks.py
+++ b/soak/system_checks.py
@@ -1,4 +1,4 @@
-"""Checks of keys, versions, stops, repeats and memory."""
+"""Checks of keys, versions, planned stops, retries and memory."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     REVOKE_MS,
 )
 
-# The platform's bounds where its settings name none.
+# The platform's default bounds, for settings that give none.
 APPLY_MS = 3000
 GRACE_MS = GRACE_S * 1000
 REPEAT_WINDOW_MS = 10_000
-# New work ends a few seconds after the request to stop.
+# An entry may accept new work for a few seconds after the request to stop.
 NEW_WORK_MS = 4000
 # The bounds on memory of issue 11 and of docs/CAPACITY.md.
 SLOPE_MB_PER_MINUTE_MAX = 0.5
@@ -32,71 +32,83 @@
 
 
 def check_keys(records: Records) -> Iterable[Finding]:
-    """Find runs with a key that was taken away longer ago than its bound."""
+    """Find runs with a key revoked longer ago than `REVOKE_MS` allows."""
     revoked_ms = {
-        told.revoked: told.at_ms for told in records.published if told.revoked
+        publication.revoked: publication.at_ms
+        for publication in records.published
+        if publication.revoked
     }
     runs = records.runs_by_request()
-    for asked in records.asked:
-        since_ms = revoked_ms.get(asked.key)
-        if since_ms is None or asked.request not in runs:
+    for call in records.asked:
+        since_ms = revoked_ms.get(call.key)
+        if since_ms is None or call.request not in runs:
             continue
-        late_ms = asked.sent_ms - since_ms
+        late_ms = call.sent_ms - since_ms
         if late_ms > REVOKE_MS:
-            detail = f'{asked.key} was taken away {late_ms:.0f} ms before'
-            yield Finding('keys', detail, asked.request)
+            detail = f'{call.key} was revoked {late_ms:.0f} ms before'
+            yield Finding('keys', detail, call.request)
 
 
 def check_reverts(records: Records) -> Iterable[Finding]:
-    """Find entries that no longer know what they knew before."""
+    """Find entries that answer 404 for a route that they served before."""
     known_ms: dict[tuple[str, int, str], float] = {}
-    added = {told.path for told in records.published if told.path}
-    for asked in sorted(records.asked, key=lambda one: one.ended_ms):
-        if asked.path not in added:
+    added = {
+        publication.path
+        for publication in records.published
+        if publication.path
+    }
+    for call in sorted(records.asked, key=lambda call: call.ended_ms):
+        if call.path not in added:
             continue
-        place = (asked.entry, asked.life, asked.path)
-        if asked.status in _SHOWS_ROUTE:
-            known_ms.setdefault(place, asked.ended_ms)
-        since_ms = known_ms.get(place, asked.sent_ms)
-        if asked.status == _UNKNOWN and asked.sent_ms > since_ms:
-            yield Finding('reverts', f'{asked.path} is gone', asked.request)
+        process_path = (call.entry, call.life, call.path)
+        if call.status in _SHOWS_ROUTE:
+            known_ms.setdefault(process_path, call.ended_ms)
+        since_ms = known_ms.get(process_path, call.sent_ms)
+        if call.status == _UNKNOWN and call.sent_ms > since_ms:
+            yield Finding(
+                'reverts', f'{call.path} is unknown again', call.request
+            )
 
 
 def check_in_force(records: Records) -> Iterable[Finding]:
-    """Find routes that an entry without trouble learns too late."""
+    """Find routes that an undisturbed entry learns too late."""
     added_ms = {
-        told.path: told.at_ms for told in records.published if told.path
+        publication.path: publication.at_ms
+        for publication in records.published
+        if publication.path
     }
-    for asked in records.asked:
-        late_ms = asked.sent_ms - added_ms.get(asked.path, asked.sent_ms)
-        is_late = late_ms > APPLY_MS + BUSY_MS and asked.status == _UNKNOWN
+    for call in records.asked:
+        late_ms = call.sent_ms - added_ms.get(call.path, call.sent_ms)
+        is_late = late_ms > APPLY_MS + BUSY_MS and call.status == _UNKNOWN
         if is_late and records.is_calm(
-            asked.sent_ms - SETTLE_MS,
-            asked.ended_ms,
+            call.sent_ms - SETTLE_MS,
+            call.ended_ms,
         ):
-            detail = f'{asked.path} unknown {late_ms:.0f} ms later'
-            yield Finding('in force', detail, asked.request)
+            detail = f'{call.path} unknown {late_ms:.0f} ms after it was added'
+            yield Finding('in force', detail, call.request)
 
 
 def check_drain(records: Records) -> Iterable[Finding]:
-    """Find new work at entries that stop, and entries that outlive a stop."""
+    """Find new work at stopping entries, and entries that end too late."""
     runs = records.runs_by_request()
     for stop in records.stopped:
-        for asked in _asked_of(stop, records):
-            late_ms = asked.sent_ms - stop.at_ms
-            if late_ms > NEW_WORK_MS + BUSY_MS and asked.request in runs:
+        for call in _asked_of(stop, records):
+            late_ms = call.sent_ms - stop.at_ms
+            if late_ms > NEW_WORK_MS + BUSY_MS and call.request in runs:
                 detail = f'sent {late_ms:.0f} ms after the stop'
-                yield Finding('drain', detail, asked.request)
+                yield Finding('drain', detail, call.request)
         if _outlives(stop, records):
-            yield Finding('drain', f'{stop.entry} outlives its grace time')
+            yield Finding(
+                'drain', f'{stop.entry} still runs after its grace time'
+            )
 
 
 def _asked_of(stop: Stopped, records: Records) -> Iterable[Asked]:
-    """Return what was asked of the process that was stopped."""
+    """Return the requests sent to the stopped process."""
     return (
-        asked
-        for asked in records.asked
-        if (asked.entry, asked.life) == (stop.entry, stop.life)
+        call
+        for call in records.asked
+        if (call.entry, call.life) == (stop.entry, stop.life)
     )
 
 
@@ -108,62 +120,65 @@
 
 
 def check_planned_stop(records: Records) -> Iterable[Finding]:
-    """Find requests that a planned stop cut off."""
+    """Find requests whose connection a planned stop closed early."""
     runs = records.runs_by_request()
     for stop in records.stopped:
-        for asked in _asked_of(stop, records):
-            late_ms = asked.ended_ms - stop.at_ms
-            cut = asked.ending is Ending.CUT and asked.request in runs
+        for call in _asked_of(stop, records):
+            late_ms = call.ended_ms - stop.at_ms
+            cut = call.ending is Ending.CUT and call.request in runs
             if (
                 cut
                 and late_ms > 0
                 and records.is_calm(
-                    asked.sent_ms - SETTLE_MS,
-                    asked.ended_ms,
+                    call.sent_ms - SETTLE_MS,
+                    call.ended_ms,
                 )
             ):
-                detail = f'cut {late_ms:.0f} ms after the stop began'
-                yield Finding('planned stop', detail, asked.request)
+                detail = f'connection cut {late_ms:.0f} ms after the stop began'
+                yield Finding('planned stop', detail, call.request)
 
 
 def check_repeats(records: Records) -> Iterable[Finding]:
-    """Find windows with more repeats than the budget."""
-    firsts: list[float] = []
-    repeats: list[float] = []
+    """Find windows with more retries than the retry budget allows."""
+    first_ms: list[float] = []
+    retries_ms: list[float] = []
     for runs in records.runs_by_request().values():
-        firsts.append(runs[0].at_ms)
-        repeats.extend(run.at_ms for run in runs[1:])
-    firsts.sort()
-    repeats.sort()
-    for end_ms in repeats:
-        repeated = _count(repeats, end_ms)
-        asked = _count(firsts, end_ms)
-        if repeated > REPEAT_RATIO * asked + REPEAT_SLACK:
-            detail = f'{repeated} beside {asked} firsts in 10 s'
+        first_ms.append(runs[0].at_ms)
+        retries_ms.extend(run.at_ms for run in runs[1:])
+    first_ms.sort()
+    retries_ms.sort()
+    for end_ms in retries_ms:
+        retry_count = _count(retries_ms, end_ms)
+        first_count = _count(first_ms, end_ms)
+        if retry_count > REPEAT_RATIO * first_count + REPEAT_SLACK:
+            detail = f'{retry_count} retries, {first_count} first runs in 10 s'
             yield Finding('repeats', detail)
             return
 
 
 def _count(times_ms: list[float], end_ms: float) -> int:
-    """Return how many lie in the window that ends then."""
+    """Return how many of the sorted times lie in the window up to `end_ms`."""
     start = bisect_left(times_ms, end_ms - REPEAT_WINDOW_MS)
     return bisect_right(times_ms, end_ms) - start
 
 
 def check_memory(records: Records) -> Iterable[Finding]:
-    """Find processes that grow after their warm-up, or beyond their size."""
+    """Find processes whose memory grows after warm-up or exceeds its limit."""
     for memory in records.memory:
         highest = max((mb for _, mb in memory.points), default=0)
         if highest > MEMORY_MB_MAX:
             yield Finding('memory', f'{memory.process}: {highest:.1f} MB')
         slope = _slope(memory)
         if slope > SLOPE_MB_PER_MINUTE_MAX:
-            detail = f'{memory.process} grows {slope:.3f} MB a minute'
+            detail = f'{memory.process} grows by {slope:.3f} MB per minute'
             yield Finding('memory', detail)
 
 
 def _slope(memory: Memory) -> float:
-    """Return MB a minute after the warm-up; 0 for a short life."""
+    """Return the growth after warm-up in MB per minute.
+
+    It is 0 if the process ran too briefly to measure it.
+    """
     minutes = [at_ms / _MS_PER_MINUTE for at_ms, _ in memory.points]
     sizes = [mb for _, mb in memory.points]
     start = bisect_right(minutes, minutes[0] + WARM_UP_MINUTES)
