--- a/soak/answer_checks.py
+++ b/soak/answer_checks.py
@@ -85,7 +85,7 @@
     for call in records.asked:
         says_not_run = call.status in _NOT_RUN and not call.sealed
         if call.kind.runs_once and says_not_run and call.request in runs:
-            yield Finding('refused', f'status {call.status}', call.request)
+            yield Finding('refused', f'{call.status}', call.request)
 
 
 def check_gone(records: Records) -> Iterable[Finding]:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: what each user needs, shown on loopback."""
+"""Demonstration of resume, idempotent calls and publication on loopback."""
 
 from __future__ import annotations
 
@@ -25,25 +25,28 @@
 
 
 class DemoError(AssertionError):
-    """Something that the demonstration shows did not hold."""
+    """A step of the demonstration did not show the expected result."""
 
 
 async def run_demo(say: Say) -> None:
-    """Show all steps for both users.
+    """Run all steps of the demonstration for both users.
 
     Raises
     ------
     DemoError
-        If a step does not show what it should.
+        If a step does not show the expected result, or takes too long.
     """
-    # Stand-ins break connections on purpose; the server logs each.
+    # Stand-ins close connections on purpose, and the server logs each as an
+    # error.
     logging.getLogger('uvicorn.error').disabled = True
     for user in USERS:
         try:
             async with asyncio.timeout(USER_TIMEOUT_S):
                 await _show_user(user, say)
         except TimeoutError as error:
-            raise DemoError(f'not done after {USER_TIMEOUT_S} s') from error
+            raise DemoError(
+                f'demonstration not finished after {USER_TIMEOUT_S} s'
+            ) from error
 
 
 async def _show_user(user: User, say: Say) -> None:
@@ -64,10 +67,10 @@
     await reader.read()
     verify_answer(deployment.user.prompt, reader.text, TOKENS)
     if reader.resume_ms is None:
-        raise DemoError('the engine was not killed under the generation')
+        raise DemoError('the generation was not resumed after an engine kill')
     say(
         f'{TOKENS} tokens, none missing or repeated; engine killed after '
-        f'{reader.killed_at}, output went on {reader.resume_ms:.0f} ms later',
+        f'{reader.killed_at}, output resumed {reader.resume_ms:.0f} ms later',
     )
 
 
@@ -85,9 +88,11 @@
                 data=b'{"batch": 17}',
             )
             answers.append((response.status_code, await response.content()))
-    ran = sum(sum(one.runs_by_key.values()) for one in deployment.services)
-    if ran != 1 or len(set(answers)) != 1:
-        raise DemoError(f'ran {ran} times, answers {answers}')
+    run_count = sum(
+        sum(service.runs_by_key.values()) for service in deployment.services
+    )
+    if run_count != 1 or len(set(answers)) != 1:
+        raise DemoError(f'ran {run_count} times, expected 1; answers {answers}')
     say(
         f'POST {user.guarded_path} sent twice with one key through '
         f'{deployment.entry_count} entries: ran once, same answer',
@@ -114,9 +119,14 @@
         async with asyncio.timeout(FORCE_TIMEOUT_S):
             await _until_in_force(deployment, version)
     except TimeoutError as error:
-        raise DemoError(f'version {version} not in force') from error
-    took_ms = deployment.clock.now_ms() - started_ms
-    say(f'version {version} in force at every process after {took_ms:.0f} ms')
+        raise DemoError(
+            f'version {version} not in force everywhere in time'
+        ) from error
+    duration_ms = deployment.clock.now_ms() - started_ms
+    say(
+        f'version {version} in force at every process'
+        f' after {duration_ms:.0f} ms',
+    )
 
 
 async def _until_in_force(deployment: Loopback, version: int) -> None:
@@ -128,7 +138,7 @@
 
 
 class _Reader:
-    """Reads one streamed answer and kills the engine half-way."""
+    """Reads a streamed answer and kills its engine during the stream."""
 
     def __init__(self, deployment: Loopback) -> None:
         self.text = ''
@@ -139,7 +149,7 @@
         self._killed_salt = ''
 
     async def read(self) -> None:
-        """Read the whole answer."""
+        """Read the complete answer."""
         user = self._deployment.user
         async with HTTPClient() as client:
             response = await client.request(
@@ -169,7 +179,7 @@
             return
         body = msgspec.json.decode(event[start + len(_EVENT_PREFIX) - 1 :])
         if 'choices' not in body:
-            raise DemoError(f'refused: {body}')
+            raise DemoError(f'completion refused: {body}')
         text = body['choices'][0]['text']
         if self._killed_ms and self.resume_ms is None:
             self._note_resume(text)
@@ -178,7 +188,7 @@
             self._kill()
 
     def _note_resume(self, text: str) -> None:
-        """Take the time of the first token of another attempt."""
+        """Record the time until the first token of another attempt."""
         if any(salt_of(token) != self._killed_salt for token in text.split()):
             now_ms = self._deployment.clock.now_ms()
             self.resume_ms = now_ms - self._killed_ms
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,6 @@
-"""Engine stand-in over HTTP: `python -m standins.engine --listen IP:PORT`.
+"""HTTP server of the engine stand-in.
+
+Usage: `python -m standins.engine --listen IP:PORT`.
 
 `POST /generate` streams server-sent events, `GET /load` reports the load,
 `GET /running` counts sequences, `POST /orders` takes orders, and
@@ -40,7 +42,7 @@
 
 
 def apply_fault(engine: Engine, fault: Fault) -> None:
-    """Put a fault in force.
+    """Set a fault of the engine.
 
     Raises
     ------
@@ -69,7 +71,7 @@
 
 
 def create_app(engine: Engine) -> Starlette:
-    """Return the application around an engine."""
+    """Return an ASGI application that serves an engine."""
 
     async def generate(request: Request) -> Response:
         decoded = msgspec.json.decode(
--- a/standins/engine_core.py
+++ b/standins/engine_core.py
@@ -1,4 +1,4 @@
-"""A model engine without a model: continuous batching and faults."""
+"""A model engine without a model, with continuous batching and faults."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class EngineSpeed:
-    """Speeds and sizes of an engine; times in milliseconds."""
+    """Speeds, sizes and options of an engine."""
 
     token_interval_ms: float = 10
     prefill_ms_per_token: float = 0.02
@@ -41,7 +41,7 @@
 
 @dataclass
 class EngineFaults:
-    """Faults in force; `None` and zero mean none."""
+    """Faults in force; the defaults mean no fault."""
 
     dead: bool = False
     die_after_tokens: int | None = None
@@ -70,7 +70,7 @@
 
 @dataclass
 class EngineCounts:
-    """Work done, for measures of extra resource use."""
+    """Counts of the work done, to measure extra resource use."""
 
     prefill_tokens: int = 0
     decoded_tokens: int = 0
@@ -80,7 +80,7 @@
 
 
 class Engine:
-    """Engine that emits one token for each running sequence in each step."""
+    """Emits one token per step for each running sequence."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         self,
         request: GenerateRequest,
     ) -> AsyncIterator[EngineOutput]:
-        """Yield the tokens after the prefix, then the finish."""
+        """Yield the tokens after the prefix, then the finish reason."""
         await self._wait_while_paused()
         self._check_alive()
         if self.loaded and request.pin not in self.loaded:
@@ -142,7 +142,10 @@
         )
 
     async def order(self, action: str, pin: Pin, fence: int) -> bool:
-        """Carry out an order; an old fence is refused if fences are checked."""
+        """Carry out an order.
+
+        Returns ``False`` for an old fencing token if tokens are checked.
+        """
         await self._wait_while_paused()
         self._check_alive()
         if self.speed.checks_fencing and fence < self.highest_fence:
@@ -157,11 +160,11 @@
 
     @property
     def running(self) -> int:
-        """Return how many sequences run or wait now."""
+        """Return the number of running and waiting sequences."""
         return len(self._running) + len(self._waiting)
 
     def die(self) -> None:
-        """Break all connections and answer nothing until `revive`."""
+        """End all generations and fail all calls until `revive`."""
         self.faults.dead = True
         for sequence in (*self._running, *self._waiting):
             sequence.outputs.put_nowait(None)
@@ -169,12 +172,12 @@
         self._waiting.clear()
 
     def revive(self) -> None:
-        """Start again with an empty cache."""
+        """Clear the faults and the KV cache, as a restart does."""
         self.faults = replace(EngineFaults())
         self._cached_blocks.clear()
 
     def pause(self, duration_ms: float) -> None:
-        """Do nothing for a while, then go on as if nothing had happened."""
+        """Stop all work for a time, then continue from the same state."""
         self.faults.paused_until_ms = self._clock.now_ms() + duration_ms
 
     def _check_alive(self) -> None:
@@ -212,7 +215,7 @@
 
     def _with_gaps(self, events: tuple[int, ...]) -> tuple[int, ...]:
         return tuple(
-            one for one in events if self._random.random() > _EVENT_LOSS
+            event for event in events if self._random.random() > _EVENT_LOSS
         )
 
     async def _outputs(
@@ -276,10 +279,10 @@
         self._deliver(sequence, EngineOutput(tokens=(token,)))
 
     def _deliver(self, sequence: _Sequence, output: EngineOutput) -> None:
-        late_s = self.faults.deliver_late_ms / _MS_PER_S
-        if late_s:
+        delay_s = self.faults.deliver_late_ms / _MS_PER_S
+        if delay_s:
             loop = asyncio.get_running_loop()
-            loop.call_later(late_s, sequence.outputs.put_nowait, output)
+            loop.call_later(delay_s, sequence.outputs.put_nowait, output)
         else:
             sequence.outputs.put_nowait(output)
 
@@ -299,8 +302,8 @@
 
     def _report(self) -> LoadReport:
         kv_tokens = sum(
-            one.produced + len(one.request.prompt.split())
-            for one in self._running
+            sequence.produced + len(sequence.request.prompt.split())
+            for sequence in self._running
         )
         return LoadReport(
             running=len(self._running),
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -1,4 +1,4 @@
-"""One user's deployment in small, in one process on loopback."""
+"""A small deployment of one user, in one process on loopback."""
 
 from __future__ import annotations
 
@@ -35,7 +35,10 @@
 
 @dataclass
 class Loopback:
-    """Stand-ins, agents and entries of one user; use `start` and `close`."""
+    """Stand-ins, agents and entries of one user.
+
+    `start` starts them, `close` stops them.
+    """
 
     user: User
     engine_count: int = 6
@@ -54,7 +57,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start everything and wait until all entries serve."""
+        """Start all parts and wait until all entries serve requests."""
         platform = await self._stack.enter_async_context(
             serving_store(self.platform),
         )
@@ -83,14 +86,14 @@
                 await entry.versions.wait_serving()
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop all parts."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._stack.aclose()
 
     def publisher(self) -> Publisher:
-        """Return a publisher, as the operator's command line uses it."""
+        """Return a publisher like that of the operator's command line."""
         return Publisher.from_platform(
             self.store.table(StoreUse.PUBLICATION),
             self.store.object_store(StoreUse.PUBLICATION),
@@ -108,11 +111,11 @@
         await self.publisher().publish(draft)
 
     def entry_url(self, index: int) -> str:
-        """Return the URL of an entry's HTTP side."""
+        """Return the URL of the HTTP server of an entry."""
         return f'http://127.0.0.1:{self.entries[index].server.port}'
 
     def engine_of(self, agent: str) -> Engine:
-        """Return the engine beside the agent with an address."""
+        """Return the engine of the agent with address `agent`."""
         pairs = zip(self.engine_agents, self.engines, strict=True)
         for process, engine in pairs:
             if process.transport.address == agent:
@@ -148,7 +151,9 @@
             place,
             upstream,
             f'{kind}-{index}',
-            entries=tuple(one.address for one in self._transports),
+            entries=tuple(
+                entry_transport.address for entry_transport in self._transports
+            ),
             upstream_kind=kind,
         )
         transport = ZmqTransport.from_settings(place, _KEYS, self.clock)
@@ -165,7 +170,9 @@
                 self.platform_settings,
                 keys=_KEYS,
                 peers=tuple(
-                    one for one in addresses if one != transport.address
+                    address
+                    for address in addresses
+                    if address != transport.address
                 ),
             )
             store = open_store(
--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -28,5 +28,5 @@
         return await self._engine.load()
 
     async def order(self, action: str, pin: Pin, fence: int) -> bool:
-        """Pass an order on."""
+        """Pass an order to the engine."""
         return await self._engine.order(action, pin, fence)
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -1,6 +1,6 @@
-"""Stand-in of the platform's runners: model runners and plain services.
+"""Stand-in for the platform's runners: model runners and plain services.
 
-They can refuse, break off, stall and copy memory.
+It can refuse requests, cut or stall answers and copy KV cache.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 REQUEST_ID = b'bergamotthread-request-id'
 EVENT_MS = 40
 PREFILL_MS = 400
-# Events of a whole stream.
+# Number of events of a complete stream.
 STREAM_EVENTS = 60
 
 
@@ -36,35 +36,37 @@
 
     @property
     def request_id(self) -> bytes:
-        """Return the identifier that the caller gave."""
+        """Return the request identifier that the caller sent."""
         return self.headers.get(REQUEST_ID, b'')
 
 
 def event_of(request_id: bytes, number: int) -> bytes:
-    """Return an event of a stream, which shows whose it is."""
+    """Return an event of a stream; it contains the request identifier."""
     return b'id: %d\ndata: t%d %b\n\n' % (number, number, request_id)
 
 
 @dataclass
 class RunnerScript:
-    """How a runner behaves.
+    """Behaviour and faults of a runner.
 
     Parameters
     ----------
     not_run
-        Refuses requests and says that it did not run them.
+        Whether it refuses requests with the header for "not executed".
     breaks_after
-        Events, or for plain answers 0, after which it resets.
+        Number of events after which it resets the connection; for plain
+        answers, any number resets it in place of the answer.
     ends_in_event
-        Ends its stream within an event, as if it were whole.
+        Whether it ends the stream normally but within an event.
     repeats
-        Events before the place to go on from that it sends again.
+        Number of events before the resume position that it sends again.
     padding
-        Bytes of an event without an end that it sends before each event.
+        Bytes of a data line without an end that it sends before each event.
     comment
-        Bytes of a comment in each event.
+        Bytes of a comment at the start of each event.
     stalls_after
-        Events after which it sends no more, though it answers probes.
+        Number of events after which it sends no more for 60 s; it still
+        answers probes.
     """
 
     not_run: bool = False
@@ -134,7 +136,7 @@
             seen.ended_ms = self.clock.now_ms()
 
     def break_off(self, exchange: Exchange) -> None:
-        """End an answer before its end."""
+        """Reset the connection before the answer is complete."""
         exchange.abort()
 
     def plain_body(self, seen: Seen) -> bytes:
@@ -167,7 +169,7 @@
         )
 
     def has_copy(self, seen: Seen) -> bool:
-        """Return whether the memory that a request names is here."""
+        """Return whether the KV cache copy that a request names is here."""
         source = seen.headers.get(b'kv-from')
         if source is None:
             return True
@@ -216,8 +218,8 @@
     routes: tuple[Told, ...] = (),
     **more: object,
 ) -> Told:
-    """Return a manifest with a route of each kind."""
-    usual = [
+    """Return a manifest with a route of each kind and with `routes`."""
+    default_routes = [
         route_of('/stream/', 'streaming', MODEL, stream_resume=True),
         route_of('/once-stream/', 'streaming', MODEL),
         route_of('/once/', 'non_idempotent', PLAIN, timeout_ms=1500),
@@ -227,7 +229,7 @@
     engine = {'slots': 64, 'kv_capacity_tokens': 88_000, 'backups': True}
     return {
         'version': version,
-        'routes': [*usual, *routes],
+        'routes': [*default_routes, *routes],
         'services': [{'name': MODEL, 'engine': engine}, {'name': PLAIN}],
         'tenants': [{'name': 'team-one', 'api_keys': list(keys)}],
         **more,
@@ -235,7 +237,7 @@
 
 
 def route_of(prefix: str, kind: str, service: str, **more: object) -> Told:
-    """Return a route as a manifest has it."""
+    """Return a route in the form of a manifest."""
     return {
         'name': prefix,
         'host': 'h.example',
--- a/standins/platform_server.py
+++ b/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""Base of the servers that stand in for the users' platform."""
+"""Base class of the servers that stand in for the users' platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StandInServer(CallerServer, ABC):
-    """Answers requests with the project's own server side of HTTP."""
+    """Answers requests, using the HTTP server code of the project."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -26,12 +26,12 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Return limits that no test reaches."""
+        """Return the default limits, which no test reaches."""
         return self._limits
 
     @property
     def is_draining(self) -> bool:
-        """Return that connections are kept."""
+        """Return ``False``: connections stay open between requests."""
         return False
 
     @abstractmethod
@@ -39,6 +39,6 @@
         """Answer one request."""
 
     async def listen(self, address: str) -> asyncio.AbstractServer:
-        """Start to accept connections."""
+        """Start accepting connections."""
         self.address = address
         return await listen(self, address)
--- a/standins/platform_settings.py
+++ b/standins/platform_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry as the platform writes them, for stand-ins."""
+"""Settings files of entries in the form that the platform writes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     zone: str,
     store: str,
 ) -> dict[str, object]:
-    """Return the settings file of an entry, before it is encoded."""
+    """Return the content of an entry's settings file, to be written as JSON."""
     return {
         'node_name': host,
         'ip': ip,
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's store, on its published calls.
+"""Stand-in for the platform's store, with its published protocol.
 
-It can be away, late, stale in its history or lose answers. `python -m
-standins.platform_store ADDRESS` serves an empty one.
+It can refuse calls, delay or lose answers and drop its history. `python -m
+standins.platform_store ADDRESS` serves an empty store.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 Told = dict[str, object]
 Sent = dict[str, list[dict[str, Any]]]
 
-# Most that one answer holds.
+# Most rows and names in one answer.
 ROWS_MAX = 500
 NAMES_MAX = 1000
 _OK = 200
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """A row; without a payload it was removed."""
+    """A version of a row; no payload if the row was removed."""
 
     table: str
     key: str
@@ -45,33 +45,33 @@
     ver: int
 
     def told(self) -> Told:
-        """Return what the store tells of it."""
-        told: Told = {
+        """Return the row in the form of the protocol."""
+        fields: Told = {
             'table': self.table,
             'part': '',
             'key': self.key,
             'ver': self.ver,
         }
         if self.payload is None:
-            told['deleted'] = True
+            fields['deleted'] = True
         else:
-            told['value'] = base64.b64encode(self.payload).decode()
-        return told
+            fields['value'] = base64.b64encode(self.payload).decode()
+        return fields
 
 
 class StoreStandIn(StandInServer):
-    """Rows with versions, a feed with a bounded history, and faults.
+    """Stores versioned rows and objects, with a feed of changes and faults.
 
     Parameters
     ----------
     status
-        Answers with this status, if not 0.
+        Status of all answers; 0 for no fault.
     late_ms
-        Time by which answers are late.
+        Delay of each answer.
     loses_answers
-        Does what is asked and breaks the connection off.
+        Whether to carry out calls but reset the connection before the answer.
     lost_writes
-        Number of next writes of which the answer is lost.
+        Number of coming writes that are carried out but whose answer is lost.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -89,7 +89,7 @@
         self._news = asyncio.Event()
 
     def put(self, table: str, key: str, content: object) -> None:
-        """Write a row; bytes as they are, all else as JSON."""
+        """Write a row; content other than bytes is encoded as JSON."""
         if not isinstance(content, bytes):
             content = json.dumps(content).encode()
         self._change(Row(table, key, content, self.ver + 1))
@@ -99,30 +99,30 @@
         self._change(Row(table, key, None, self.ver + 1))
 
     def forget_history(self) -> None:
-        """Drop the changes so far; feeds from before them get 410."""
+        """Drop the history; feeds that start before now get status 410."""
         self._changes.clear()
         self.kept_from = self.ver
 
     async def answer(self, exchange: Exchange) -> None:
         """Answer one call."""
         path, _, query = exchange.request.target.decode().partition('?')
-        asked = dict(parse_qsl(query, keep_blank_values=True))
+        query_fields = dict(parse_qsl(query, keep_blank_values=True))
         self.calls.append(path)
         if self.status:
             exchange.respond(self.status, ())
             return
         body = exchange.request.body
         if path.startswith('/api/blob-'):
-            status, told = self._answer_object(path, asked, body)
+            status, payload = self._answer_object(path, query_fields, body)
         else:
-            status, rows = await self._answer_rows(path, asked, body)
-            told = json.dumps(rows).encode()
+            status, rows = await self._answer_rows(path, query_fields, body)
+            payload = json.dumps(rows).encode()
         if self.late_ms:
             await self.clock.sleep_ms(self.late_ms)
         if self.loses_answers or self._loses(exchange.request.method):
             exchange.abort()
         else:
-            exchange.respond(status, (), told)
+            exchange.respond(status, (), payload)
 
     def _loses(self, method: bytes) -> bool:
         is_lost = method != b'GET' and self.lost_writes > 0
@@ -143,12 +143,12 @@
         return self._transact(json.loads(sent))
 
     def _transact(self, sent: Sent) -> tuple[int, Told]:
-        """Change rows if all have the versions that are expected."""
+        """Write and remove rows if all expected versions match."""
         for expected in sent['expected_rev']:
-            known = self._row_by_key.get((expected['table'], expected['key']))
-            ver = known.ver if known else 0
+            stored = self._row_by_key.get((expected['table'], expected['key']))
+            ver = stored.ver if stored else 0
             if expected['ver'] != ver:
-                rows = [known.told()] if known else []
+                rows = [stored.told()] if stored else []
                 return _NOT_AS_EXPECTED, {'rows': rows, 'ver': self.ver}
         for row in sent['puts']:
             self.put(row['table'], row['key'], base64.b64decode(row['value']))
@@ -162,17 +162,17 @@
         asked: Asked,
         sent: bytes,
     ) -> tuple[int, bytes]:
-        call, _, quoted = path.removeprefix('/api/blob-').partition('/')
+        operation, _, quoted = path.removeprefix('/api/blob-').partition('/')
         name = unquote(quoted)
-        known = self._object_by_name.get(name)
-        match call:
+        stored = self._object_by_name.get(name)
+        match operation:
             case 'list':
                 return _OK, json.dumps(self._names(asked)).encode()
-            case 'get' if known is None:
+            case 'get' if stored is None:
                 return _NOT_FOUND, b''
             case 'get':
-                return _OK, known or b''
-            case _ if known is not None:
+                return _OK, stored or b''
+            case _ if stored is not None:
                 return _NOT_AS_EXPECTED, b''
             case _:
                 self._object_by_name[name] = sent
@@ -221,14 +221,14 @@
                 for row in self._changes
                 if row.table == table and row.ver > after
             ]
-            left_ms = end_ms - self.clock.now_ms()
-            if rows or left_ms <= 0:
+            remaining_ms = end_ms - self.clock.now_ms()
+            if rows or remaining_ms <= 0:
                 return {
                     'rows': [row.told() for row in rows],
                     'ver': self.ver,
                 }
             with contextlib.suppress(TimeoutError):
-                async with self.clock.timeout_ms(left_ms):
+                async with self.clock.timeout_ms(remaining_ms):
                     await self._news.wait()
 
     def _change(self, row: Row) -> None:
@@ -244,7 +244,7 @@
 
 @contextlib.asynccontextmanager
 async def serving_store(store: StoreStandIn) -> AsyncIterator[str]:
-    """Serve a store on loopback; yield its address."""
+    """Serve a store on a free loopback address; yield the address."""
     server = await store.listen(free_address())
     try:
         yield store.address
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,6 +1,6 @@
-"""A plain service that counts how often each idempotency key ran.
+"""A plain service that counts the runs of each idempotency key.
 
-Faults are set by `POST /control/faults`; `GET /counts` answers the counts.
+`POST /control/faults` sets faults; `GET /counts` returns the counts.
 """
 
 from __future__ import annotations
@@ -26,16 +26,17 @@
 
 @dataclass
 class ServiceFaults:
-    """Faults in force; numbers count the next calls that they strike.
+    """Faults in force; counts are of the coming calls that a fault affects.
 
     Parameters
     ----------
     delay_before_ms, delay_after_ms
-        Time that each call takes before and after it runs.
+        Delay of each call before and after its run.
     dropped_answers
-        Calls that run, after which the connection is cut with no answer.
+        Number of calls that run but whose connection is closed before the
+        answer is complete.
     deaths_before, deaths_after
-        Calls before or after whose run the process ends.
+        Number of calls before or after whose run the process exits.
     """
 
     delay_before_ms: float = 0
@@ -47,7 +48,7 @@
 
 @dataclass
 class PlainService:
-    """State of the service: runs per key and the highest fencing tokens."""
+    """State of the service: number of runs and newest fencing token per key."""
 
     clock: Clock
     checks_fencing: bool = False
@@ -56,7 +57,10 @@
     fence_by_key: dict[str, int] = field(default_factory=dict)
 
     def admits(self, key: str, fence: int) -> bool:
-        """Return whether the fencing token is not older than one seen."""
+        """Return whether `fence` may run; remember it if tokens are checked.
+
+        A fencing token older than one seen for the key may not run.
+        """
         if not self.checks_fencing:
             return True
         if fence < self.fence_by_key.get(key, 0):
@@ -65,7 +69,7 @@
         return True
 
     async def run(self, key: str, fence: int) -> bool:
-        """Count one run of `key`, unless its fencing token is too old."""
+        """Count a run of `key`; return whether its fencing token allowed it."""
         await self.clock.sleep_ms(self.faults.delay_before_ms)
         if not self.admits(key, fence):
             return False
@@ -74,15 +78,15 @@
         return True
 
     def strikes(self, fault: str) -> bool:
-        """Return whether a counted fault strikes this call."""
-        left = getattr(self.faults, fault)
-        if left > 0:
-            setattr(self.faults, fault, left - 1)
-        return bool(left > 0)
+        """Return whether a counted fault affects this call, and count it."""
+        remaining = getattr(self.faults, fault)
+        if remaining > 0:
+            setattr(self.faults, fault, remaining - 1)
+        return bool(remaining > 0)
 
 
 class _DroppedAnswer(Response):
-    """Starts an answer that promises more bytes than it sends."""
+    """Starts an answer of 1000 bytes, then closes the connection."""
 
     async def __call__(
         self,
@@ -94,7 +98,7 @@
         await send(
             {'type': 'http.response.start', 'status': 200, 'headers': headers},
         )
-        raise ConnectionAbortedError('answer dropped by a control call')
+        raise ConnectionAbortedError('answer dropped by fault dropped_answers')
 
 
 def _json(value: object, status: int = 200) -> Response:
@@ -103,13 +107,13 @@
 
 
 class ServiceEndpoints:
-    """Handlers of the service's calls and of the control calls."""
+    """Request handlers of the service and of its control paths."""
 
     def __init__(self, service: PlainService) -> None:
         self._service = service
 
     async def call(self, request: Request) -> Response:
-        """Run a call once for its key and answer how often the key ran."""
+        """Run a call and answer with the number of runs of its key."""
         service = self._service
         await request.body()
         if service.strikes('deaths_before'):
@@ -125,11 +129,11 @@
         return _json({'key': key, 'runs': service.runs_by_key[key]})
 
     async def counts(self, request: Request) -> Response:
-        """Answer the number of runs by key."""
+        """Answer with the number of runs by key."""
         return _json(self._service.runs_by_key)
 
     async def set_faults(self, request: Request) -> Response:
-        """Replace the faults in force by the JSON in the body."""
+        """Replace the faults in force by those in the body, as JSON."""
         self._service.faults = msgspec.json.decode(
             await request.body(),
             type=ServiceFaults,
@@ -137,7 +141,7 @@
         return _json(self._service.faults)
 
     async def set_fencing(self, request: Request) -> Response:
-        """Honour fencing tokens or not, by a JSON boolean in the body."""
+        """Set whether fencing tokens are checked, by a JSON boolean."""
         self._service.checks_fencing = msgspec.json.decode(
             await request.body(),
             type=bool,
@@ -146,15 +150,15 @@
 
 
 def create_app(service: PlainService) -> Starlette:
-    """Return an application that serves `service` on every other path."""
-    at = ServiceEndpoints(service)
+    """Return an application that serves `service` and its control paths."""
+    endpoints = ServiceEndpoints(service)
     methods = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE']
     return Starlette(
         routes=[
-            Route('/counts', at.counts, methods=['GET']),
-            Route('/control/faults', at.set_faults, methods=['POST']),
-            Route('/control/fencing', at.set_fencing, methods=['POST']),
-            Route('/{path:path}', at.call, methods=methods),
+            Route('/counts', endpoints.counts, methods=['GET']),
+            Route('/control/faults', endpoints.set_faults, methods=['POST']),
+            Route('/control/fencing', endpoints.set_fencing, methods=['POST']),
+            Route('/{path:path}', endpoints.call, methods=methods),
         ],
     )
 
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving of the stand-ins, alone or within another program."""
+"""HTTP servers for the stand-ins, as a program or within another one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def server(app: ASGIApp, listen: str) -> HttpServer:
-    """Return a server of `app` on `listen` (`IP:PORT`, port 0 for any)."""
+    """Return a server of `app` on `listen`.
+
+    `listen` is `IP:PORT`; port 0 takes any free port.
+    """
     host, _, port = listen.rpartition(':')
     if not port.isdecimal():
         raise click.BadParameter(f'{listen!r} is not IP:PORT')
@@ -39,9 +42,9 @@
 @contextlib.asynccontextmanager
 async def serving(app: ASGIApp) -> AsyncIterator[str]:
     """Serve an application on a free loopback port; yield its address."""
-    running = server(app, _ANY_LOOPBACK_PORT)
-    await running.start()
+    http_server = server(app, _ANY_LOOPBACK_PORT)
+    await http_server.start()
     try:
-        yield f'127.0.0.1:{running.port}'
+        yield f'127.0.0.1:{http_server.port}'
     finally:
-        await running.abort()
+        await http_server.abort()
--- a/standins/small_deployment.py
+++ b/standins/small_deployment.py
@@ -1,4 +1,4 @@
-"""Entries, agents and engines over a network in memory, in virtual time."""
+"""Entries, agents and engines on an in-memory network, in virtual time."""
 
 from __future__ import annotations
 
@@ -47,17 +47,17 @@
 
 
 def agent_address(index: int) -> str:
-    """Return the address of the agent with an index."""
+    """Return the address of the agent with this index."""
     return f'10.0.{index // 250}.{index % 250 + 1}:7000'
 
 
 def entry_address(index: int) -> str:
-    """Return the address of the entry with an index."""
+    """Return the address of the entry with this index."""
     return f'10.9.{index // 250}.{index % 250 + 1}:7000'
 
 
 def small_set(agents: int) -> ObjectSet:
-    """Return a set with one model service in two failure domains."""
+    """Return an object set with one model service in two failure domains."""
     return ObjectSet(
         regions=(Region('cuyo'),),
         failure_domains=(
@@ -94,14 +94,14 @@
     task: asyncio.Task[None]
 
     def kill(self) -> None:
-        """End the agent's process without notice."""
+        """Stop the agent without notice, as the kill of its process does."""
         self.transport.close()
         self.task.cancel()
 
 
 @dataclass
 class EntryNode:
-    """An entry without its HTTP side, and the task that runs it."""
+    """An entry without an HTTP server, and the task that runs it."""
 
     generations: Generations
     completions: Completions
@@ -110,7 +110,7 @@
     task: asyncio.Task[None]
 
     def kill(self) -> None:
-        """End the entry's process without notice."""
+        """Stop the entry without notice, as the kill of its process does."""
         self.transport.close()
         self.task.cancel()
         for live in self.generations.by_id.values():
@@ -122,7 +122,7 @@
         request: CompletionRequest,
         caller: Caller | None = None,
     ) -> tuple[LiveGeneration, CompletionStream]:
-        """Open a completion and count its reader."""
+        """Open a completion with one reader."""
         live, stream = self.completions.open(
             request,
             caller or Caller(TEAM),
@@ -134,7 +134,7 @@
 
 @dataclass
 class SmallDeployment:
-    """A few agents and entries that know all of each other."""
+    """A few agents, and entries that know all agents."""
 
     agent_count: int = 3
     entry_count: int = 1
@@ -164,7 +164,7 @@
         incarnation: int = 1,
         engine: Engine | None = None,
     ) -> AgentNode:
-        """Start an agent, beside a new engine unless one is given."""
+        """Start an agent, with a new engine unless one is given."""
         engine = engine or Engine(self.clock, self.speed, seed=index)
         transport = self.network.transport(agent_address(index), incarnation)
         agent = Agent(
@@ -180,7 +180,10 @@
     def start_entry(self, index: int, *, incarnation: int = 1) -> EntryNode:
         """Start an entry."""
         transport = self.network.transport(entry_address(index), incarnation)
-        addresses = [agent_address(one) for one in range(self.agent_count)]
+        addresses = [
+            agent_address(agent_index)
+            for agent_index in range(self.agent_count)
+        ]
         published = PublishedVersion.from_object_set(
             1,
             self.objects or small_set(self.agent_count),
@@ -219,7 +222,7 @@
         )
 
     def node_of(self, live: LiveGeneration) -> AgentNode:
-        """Return the agent that runs the current attempt."""
+        """Return the agent that runs the current attempt of a generation."""
         address = live.generation.place.agent
         for node in self.agents:
             if node.transport.address == address:
--- a/standins/tokens.py
+++ b/standins/tokens.py
@@ -1,9 +1,10 @@
-"""Tokens that prove their own order, and the checker of whole answers.
+"""Tokens that form a hash chain, and a check of complete answers.
 
-A token is `index:salt:digest `. The salt is drawn anew for each attempt, as a
-real engine samples anew, and the digest covers the one before, the index and
-the salt; that of token 0 covers the prompt. A missing, repeated or foreign
-token, or one of another attempt or generation, breaks the chain.
+A token is `index:salt:digest `. The salt is drawn for each attempt, since a
+real engine samples differently each time. The digest covers the previous
+digest, the index and the salt; that of token 0 covers the prompt in place of a
+digest. A token that is missing, repeated, or of another attempt or generation
+breaks the chain.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 
 class BrokenAnswerError(AssertionError):
-    """An answer is not one whole chain of its prompt."""
+    """An answer is not a complete hash chain of its prompt."""
 
 
 def first_token(prompt: str, salt: str) -> str:
-    """Return token 0 of a fresh generation."""
+    """Return token 0 of a generation."""
     return _token(0, salt, prompt)
 
 
@@ -32,7 +33,7 @@
 
 
 def verify_answer(prompt: str, text: str, count: int) -> None:
-    """Check that `text` is one whole generation of `count` tokens.
+    """Check that `text` is one complete generation of `count` tokens.
 
     Raises
     ------
--- a/standins/users.py
+++ b/standins/users.py
@@ -1,4 +1,4 @@
-"""Object sets of the two users' deployments in small."""
+"""Small object sets in the form of the two users' deployments."""
 
 from __future__ import annotations
 
@@ -26,7 +26,13 @@
 
 @dataclass(frozen=True)
 class User:
-    """One user: regions, model and the call that may not be repeated."""
+    """A user: its regions, teams, model, plain service and resume policy.
+
+    Parameters
+    ----------
+    guarded_path
+        Path of the plain service whose calls are not idempotent.
+    """
 
     name: str
     regions: tuple[str, ...]
@@ -39,7 +45,7 @@
 
     @property
     def pin(self) -> Pin:
-        """Return what the user's engines have loaded."""
+        """Return the model version that the user's engines have loaded."""
         return Pin(self.model, 'v1')
 
     def credential(self, team: str) -> str:
@@ -74,7 +80,7 @@
 
 
 def domain_name(region: str, index: int) -> str:
-    """Return the name of a region's failure domain."""
+    """Return the name of one of the two failure domains of a region."""
     return f'{region}-{"ab"[index % 2]}'
 
 
@@ -83,9 +89,9 @@
     engine_agents: Sequence[str],
     service_agents: Sequence[str] = (),
 ) -> ObjectSet:
-    """Return the user's objects around the agents that run.
+    """Return the user's objects, with an upstream for each agent.
 
-    Engine agents are spread over the regions in turn.
+    Agents are assigned to the regions in turn.
     """
     return ObjectSet(
         regions=tuple(
