--- a/tests/test_engine_core.py
+++ b/tests/test_engine_core.py
@@ -7,7 +7,7 @@
 from standins.small_deployment import PIN
 
 
-def test_load_and_cache_events_lag() -> None:
+def test_load_report_is_late_and_lacks_some_cache_events() -> None:
     async def scenario() -> None:
         clock = Clock.from_loop(asyncio.get_running_loop())
         engine = Engine(clock, EngineSpeed(report_lag_ms=500), seed=3)
@@ -15,14 +15,14 @@
         request = GenerateRequest('a', PIN, 'x' * 1024, (), 1000)
         outputs = engine.generate(request)
         await anext(outputs)
-        early = await engine.load()
-        assert (early.running, early.cached_prefixes) == (0, ())
+        early_report = await engine.load()
+        assert (early_report.running, early_report.cached_prefixes) == (0, ())
         await clock.sleep_ms(600)
-        late = await engine.load()
-        assert late.running == 1
+        late_report = await engine.load()
+        assert late_report.running == 1
         reports = [await engine.load() for _ in range(5)]
-        assert min(len(one.cached_prefixes) for one in reports) < 16
-        assert max(len(one.cached_prefixes) for one in reports) > 8
-        assert late.age_ms >= 500
+        assert min(len(report.cached_prefixes) for report in reports) < 16
+        assert max(len(report.cached_prefixes) for report in reports) > 8
+        assert late_report.age_ms >= 500
 
     run_virtual(scenario())
--- a/tests/test_service_standin.py
+++ b/tests/test_service_standin.py
@@ -59,5 +59,7 @@
     'scenario',
     [_ignores_fencing, _honours_fencing, _drops_answer],
 )
-def test_service(scenario: Callable[..., Awaitable[None]]) -> None:
+def test_runs_are_counted_by_key(
+    scenario: Callable[..., Awaitable[None]],
+) -> None:
     asyncio.run(_run(scenario))
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,7 @@
-"""Each check of the soak passes what is sound and fails on a mutant of it."""
+"""Each check of the soak passes valid records and fails on changed ones.
+
+Guards against checks that can no longer find the violation of their rule.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +29,8 @@
     return b''.join(event_of(request.encode(), number) for number in numbers)
 
 
-def _asked(request: str, kind: Kind = Kind.ONCE, **more) -> Asked:
-    told = {
+def _call(request: str, kind: Kind = Kind.ONCE, **more) -> Asked:
+    fields = {
         'path': str(kind),
         'key': 'key-0',
         'entry': 'entry0',
@@ -40,16 +43,16 @@
         'body': _events(request) if kind.is_stream else request.encode(),
         **more,
     }
-    return Asked(request, kind, **told)
+    return Asked(request, kind, **fields)
 
 
-def _sound() -> Records:
-    """Return records of a soak in which all went well."""
+def _valid_records() -> Records:
+    """Return records of a soak without violations."""
     records = Records()
     records.asked = [
-        _asked('a'),
-        _asked('b', Kind.STREAM),
-        _asked(
+        _call('a'),
+        _call('b', Kind.STREAM),
+        _call(
             'c',
             Kind.LOOKUP,
             path='/added/',
@@ -57,9 +60,9 @@
             sent_ms=30_000.0,
             ended_ms=31_000.0,
         ),
-        _asked('d', status=503, sealed=False, body=b'{}'),
-        _asked('e', Kind.STREAM, ending=Ending.LEFT, body=_events('e', [1, 2])),
-        _asked('f', key='key-9', status=401, sealed=False, body=b'{}'),
+        _call('d', status=503, sealed=False, body=b'{}'),
+        _call('e', Kind.STREAM, ending=Ending.LEFT, body=_events('e', [1, 2])),
+        _call('f', key='key-9', status=401, sealed=False, body=b'{}'),
     ]
     records.ran = [
         Ran('a', 'r0', 20_100, 20_200),
@@ -75,7 +78,9 @@
     ]
     records.stopped = [Stopped('entry1', 1, 40_000, 45_000)]
     records.memory = [
-        Memory('entry0-1', tuple((one * 1000.0, 20.0) for one in range(600))),
+        Memory(
+            'entry0-1', tuple((second * 1000.0, 20.0) for second in range(600))
+        ),
     ]
     records.lines_by_request = {'d': ['{"event":"refused"}']}
     return records
@@ -85,15 +90,15 @@
     return {finding.rule for finding in findings_of(records)}
 
 
-def _replace(records: Records, name: str, **more) -> None:
+def _replace_call(records: Records, name: str, **more) -> None:
     records.asked = [
-        replace(asked, **more) if asked.request == name else asked
-        for asked in records.asked
+        replace(call, **more) if call.request == name else call
+        for call in records.asked
     ]
 
 
-def test_sound_records_show_nothing():
-    assert findings_of(_sound()) == []
+def test_valid_records_give_no_findings():
+    assert findings_of(_valid_records()) == []
 
 
 @pytest.mark.parametrize(
@@ -119,9 +124,9 @@
         ('a', {'entry': 'entry1', 'sent_ms': 46_000.0}, 'drain'),
     ],
 )
-def test_mutant_of_an_answer_is_found(request_name, mutant, rule):
-    records = _sound()
-    _replace(records, request_name, **mutant)
+def test_changed_answer_is_found(request_name, mutant, rule):
+    records = _valid_records()
+    _replace_call(records, request_name, **mutant)
     assert _rules(records) >= ({rule} if rule else set())
     assert rule or not _rules(records)
 
@@ -129,32 +134,32 @@
 @pytest.mark.parametrize(
     ('left_ms', 'rules'), [(90, set()), (110, {'explained'})]
 )
-def test_line_that_a_killed_process_had_not_written_may_be_missing(
+def test_log_line_may_be_missing_shortly_before_a_kill(
     left_ms,
     rules,
 ):
-    records = _sound()
+    records = _valid_records()
     records.lines_by_request = {}
     records.killed = [Killed('entry0', 1, 21_000 + left_ms)]
     assert _rules(records) == rules
 
 
-def test_second_run_of_what_runs_once_is_found():
-    records = _sound()
+def test_second_run_of_a_request_that_runs_once_is_found():
+    records = _valid_records()
     records.ran.append(Ran('a', 'r2', 22_000, 22_100))
     assert _rules(records) == {'twice'}
 
 
 def test_run_after_a_refusal_that_said_not_run_is_found():
-    records = _sound()
+    records = _valid_records()
     records.ran.append(Ran('d', 'r2', 50_000, 50_100))
     assert _rules(records) == {'refused'}
 
 
-def test_route_that_an_entry_forgets_is_found_also_amid_faults():
-    records = _sound()
+def test_route_that_an_entry_forgets_is_found_also_during_faults():
+    records = _valid_records()
     records.struck = [Struck('busy-store', '0', 0, 99_000)]
-    again = _asked(
+    late_call = _call(
         'g',
         Kind.LOOKUP,
         path='/added/',
@@ -164,47 +169,47 @@
         sent_ms=40_000.0,
         ended_ms=40_100.0,
     )
-    records.asked.append(again)
+    records.asked.append(late_call)
     assert _rules(records) == {'reverts'}
-    records.asked[-1] = replace(again, life=2)
+    records.asked[-1] = replace(late_call, life=2)
     assert _rules(records) == set()
 
 
-def test_late_version_amid_a_fault_is_allowed():
-    records = _sound()
-    _replace(records, 'c', status=404, sealed=False)
+def test_late_version_during_a_fault_is_allowed():
+    records = _valid_records()
+    _replace_call(records, 'c', status=404, sealed=False)
     records.struck = [Struck('pause-store', '0', 26_000, 27_000)]
     assert _rules(records) == set()
 
 
 @pytest.mark.parametrize('ended_ms', [None, 49_500])
-def test_entry_that_outlives_its_grace_time_is_found(ended_ms):
-    records = _sound()
+def test_entry_that_runs_after_its_grace_time_is_found(ended_ms):
+    records = _valid_records()
     records.stopped = [Stopped('entry1', 1, 40_000, ended_ms)]
     assert _rules(records) == {'drain'}
 
 
-def test_request_that_a_planned_stop_cuts_is_found():
-    records = _sound()
+def test_request_cut_by_a_planned_stop_is_found():
+    records = _valid_records()
     records.stopped = [Stopped('entry0', 1, 20_500, 24_000)]
-    _replace(records, 'a', ending=Ending.CUT, status=0)
+    _replace_call(records, 'a', ending=Ending.CUT, status=0)
     assert _rules(records) == {'planned stop'}
     records.struck = [Struck('kill-runner', '0', 18_000, 19_000)]
     assert _rules(records) == set()
 
 
-def test_repeats_beyond_the_budget_are_found():
-    records = _sound()
+def test_retries_beyond_the_budget_are_found():
+    records = _valid_records()
     for number in range(160):
         records.ran.append(Ran('b', 'r1', 21_000 + number, 21_100 + number))
     assert _rules(records) == {'repeats'}
 
 
 def test_work_for_callers_that_left_is_found():
-    records = _sound()
+    records = _valid_records()
     for name in ('x', 'y', 'z'):
-        left = _asked(name, Kind.STREAM, ending=Ending.LEFT, body=b'')
-        records.asked.append(left)
+        abandoned = _call(name, Kind.STREAM, ending=Ending.LEFT, body=b'')
+        records.asked.append(abandoned)
         records.ran.append(Ran(name, 'r0', 20_100, 23_000))
     assert _rules(records) == {'gone'}
 
@@ -212,11 +217,13 @@
 @pytest.mark.parametrize(
     'points',
     [
-        tuple((one * 1000.0, 20 + one * 0.6 / 60) for one in range(600)),
+        tuple(
+            (second * 1000.0, 20 + second * 0.6 / 60) for second in range(600)
+        ),
         ((0.0, 20.0), (1000.0, 129.0)),
     ],
 )
 def test_memory_that_grows_is_found(points):
-    records = _sound()
+    records = _valid_records()
     records.memory = [Memory('entry0-1', points)]
     assert _rules(records) == {'memory'}
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -8,24 +8,24 @@
 
 
 def test_same_seed_gives_the_same_plan():
-    one = Plan.from_seed(7, 60, 12)
-    assert one == Plan.from_seed(7, 60, 12)
-    assert one != Plan.from_seed(8, 60, 12)
-    assert (one.entries, one.runners) == (3, 8)
-    assert len(one.faults) > 10
+    plan = Plan.from_seed(7, 60, 12)
+    assert plan == Plan.from_seed(7, 60, 12)
+    assert plan != Plan.from_seed(8, 60, 12)
+    assert (plan.entries, plan.runners) == (3, 8)
+    assert len(plan.faults) > 10
 
 
-def test_plan_draws_only_the_kinds_asked_for():
+def test_plan_draws_only_the_requested_kinds():
     kinds = (FaultKind.KILL_ENTRY, FaultKind.BUSY_STORE)
     plan = Plan.from_seed(1, 60, 9, kinds)
     assert {fault.kind for fault in plan.faults} == set(kinds)
 
 
-def test_planned_work_comes_apart_from_storms():
-    """What holds only in calm needs stops and versions with calm around."""
+def test_some_planned_stops_have_no_disturbance_near_them():
+    """Otherwise rules that hold only without disturbance go unchecked."""
     plan = Plan.from_seed(2, 240, 9)
-    unplanned = [one for one in plan.faults if one.kind not in PLANNED]
-    lone = [
+    unplanned = [fault for fault in plan.faults if fault.kind not in PLANNED]
+    undisturbed_stops = [
         fault
         for fault in plan.faults
         if fault.kind is FaultKind.STOP_ENTRY
@@ -35,7 +35,7 @@
             for other in unplanned
         )
     ]
-    assert len(lone) >= 2
+    assert len(undisturbed_stops) >= 2
 
 
 def test_targets_are_processes_of_the_plan():
@@ -50,11 +50,14 @@
         Fault(float(number), FaultKind.KILL_ENTRY, 0, 1) for number in range(13)
     )
     needed = {faults[2], faults[11]}
-    assert set(shrink(faults, lambda fewer: needed <= set(fewer))) == needed
+    assert (
+        set(shrink(faults, lambda candidate: needed <= set(candidate)))
+        == needed
+    )
 
 
 @pytest.mark.parametrize(
-    ('arguments', 'told'),
+    ('arguments', 'expected_text'),
     [
         (['--seed', '-1'], '--seed'),
         (['--seed', '1', '--processes', '5'], '--processes'),
@@ -62,7 +65,7 @@
         (['--seed', '1', '--kinds', 'flood'], 'busy-store'),
     ],
 )
-def test_bad_input_is_one_clear_error(arguments, told):
+def test_invalid_option_gives_a_usage_error(arguments, expected_text):
     outcome = CliRunner().invoke(main, arguments)
     assert outcome.exit_code == 2
-    assert told in outcome.output
+    assert expected_text in outcome.output
--- a/tests/test_soak_proxy.py
+++ b/tests/test_soak_proxy.py
@@ -14,8 +14,8 @@
     writer.close()
 
 
-async def _started():
-    """Return a proxy before a server that sends lines back, and a way in."""
+async def _start_proxy():
+    """Return a proxy to an echo server, and a connection to the proxy."""
     target = free_address()
     host, _, port = target.rpartition(':')
     await asyncio.start_server(_echo, host, int(port))
@@ -25,18 +25,18 @@
 
 
 @pytest.mark.parametrize('way', ['up', 'down'])
-def test_cut_direction_holds_what_is_sent_until_it_heals(way):
+def test_cut_direction_holds_data_back_until_heal(way):
     async def check():
-        proxy, (reader, writer) = await _started()
+        proxy, (reader, writer) = await _start_proxy()
         writer.write(b'one\n')
         assert await reader.readline() == b'one\n'
         getattr(proxy, way).is_open.clear()
         writer.write(b'two\n')
-        waiting = asyncio.create_task(reader.readline())
+        read_task = asyncio.create_task(reader.readline())
         await asyncio.sleep(0.05)
-        assert not waiting.done()
+        assert not read_task.done()
         proxy.heal()
-        assert await waiting == b'two\n'
+        assert await read_task == b'two\n'
         await proxy.close()
 
     asyncio.run(check())
@@ -44,7 +44,7 @@
 
 def test_reset_ends_open_connections():
     async def check():
-        proxy, (reader, writer) = await _started()
+        proxy, (reader, writer) = await _start_proxy()
         writer.write(b'one\n')
         assert await reader.readline() == b'one\n'
         proxy.reset_all()
@@ -55,7 +55,7 @@
     asyncio.run(check())
 
 
-def test_target_that_is_away_ends_the_connection():
+def test_unreachable_target_ends_the_connection():
     async def check():
         proxy = LoopbackProxy(free_address(), free_address())
         await proxy.start()
--- a/tests/test_soak_run.py
+++ b/tests/test_soak_run.py
@@ -1,7 +1,7 @@
 """A short soak of the real processes.
 
-Its checks are of what must hold however slow the machine is; those of times
-are for soaks by hand.
+It runs only the checks that do not depend on the speed of the machine; checks
+of times are for soaks run by hand.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 )
 
 
-def test_short_soak_breaks_no_promise_and_leaves_no_process():
+def test_short_soak_has_no_findings_and_leaves_no_process():
     plan = Plan(5, 7.0, 2, 6, _FAULTS)
     records = asyncio.run(Soak(plan).run())
     assert findings_of(records, _CHECKS) == []
-    whole = [
-        asked
-        for asked in records.asked
-        if asked.ending is Ending.WHOLE and asked.status == 200
+    successful_calls = [
+        call
+        for call in records.asked
+        if call.ending is Ending.WHOLE and call.status == 200
     ]
-    assert {asked.kind for asked in whole} == set(Kind)
+    assert {call.kind for call in successful_calls} == set(Kind)
     assert len(records.published) == 3
     assert not [
         process
@@ -55,18 +55,19 @@
     ]
 
 
-def test_soak_that_is_ended_leaves_no_process():
+def test_terminated_soak_leaves_no_process():
+    """SIGTERM could end the soak before it ends its child processes."""
     soak = subprocess.Popen(
         [sys.executable, '-m', 'soak', '--seed', '1', '--minutes', '5'],
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
     )
-    started = psutil.Process(soak.pid)
+    soak_process = psutil.Process(soak.pid)
     children = []
     while len(children) < 9:
         time.sleep(0.1)
         assert soak.poll() is None
-        children = started.children()
+        children = soak_process.children()
     soak.terminate()
     soak.wait(60)
     _, alive = psutil.wait_procs(children, timeout=10)
