--- a/soak/faults.py
+++ b/soak/faults.py
@@ -96,7 +96,7 @@
 async def _stop_entry(
     soak: SoakDeployment, entry: EntryNode, fault: Fault
 ) -> None:
-    life = entry.program.life
+    incarnation = entry.program.life
     at_ms = soak.clock.now_ms()
     entry.program.signal(signal.SIGTERM)
     await asyncio.sleep(OUT_OF_ROTATION_S)
@@ -111,7 +111,7 @@
         entry.program.signal(signal.SIGKILL)
         await entry.program.wait()
     soak.records.stopped.append(
-        Stopped(entry.program.name, life, at_ms, ended_ms),
+        Stopped(entry.program.name, incarnation, at_ms, ended_ms),
     )
     await _start_entry(soak, entry)
 
--- a/soak/system_checks.py
+++ b/soak/system_checks.py
@@ -125,9 +125,9 @@
     for stop in records.stopped:
         for call in _asked_of(stop, records):
             late_ms = call.ended_ms - stop.at_ms
-            cut = call.ending is Ending.CUT and call.request in runs
+            is_cut = call.ending is Ending.CUT and call.request in runs
             if (
-                cut
+                is_cut
                 and late_ms > 0
                 and records.is_calm(
                     call.sent_ms - SETTLE_MS,
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -132,42 +132,42 @@
     async def _answer_rows(
         self,
         path: str,
-        asked: Asked,
-        sent: bytes,
+        query_fields: Asked,
+        body: bytes,
     ) -> tuple[int, Told]:
         if path == '/api/rows-get':
-            return _OK, self._get(asked)
+            return _OK, self._get(query_fields)
         if path == '/api/rows-feed':
-            changes = await self._feed(asked)
+            changes = await self._feed(query_fields)
             return _OK if changes else _GONE, changes or {}
-        return self._transact(json.loads(sent))
+        return self._transact(json.loads(body))
 
-    def _transact(self, sent: Sent) -> tuple[int, Told]:
+    def _transact(self, body: Sent) -> tuple[int, Told]:
         """Write and remove rows if all expected versions match."""
-        for expected in sent['expected_rev']:
+        for expected in body['expected_rev']:
             stored = self._row_by_key.get((expected['table'], expected['key']))
             ver = stored.ver if stored else 0
             if expected['ver'] != ver:
                 rows = [stored.told()] if stored else []
                 return _NOT_AS_EXPECTED, {'rows': rows, 'ver': self.ver}
-        for row in sent['puts']:
+        for row in body['puts']:
             self.put(row['table'], row['key'], base64.b64decode(row['value']))
-        for row in sent['remove']:
+        for row in body['remove']:
             self.remove(row['table'], row['key'])
         return _OK, {'ver': self.ver, 'now_ms': 1}
 
     def _answer_object(
         self,
         path: str,
-        asked: Asked,
-        sent: bytes,
+        query_fields: Asked,
+        body: bytes,
     ) -> tuple[int, bytes]:
         operation, _, quoted = path.removeprefix('/api/blob-').partition('/')
         name = unquote(quoted)
         stored = self._object_by_name.get(name)
         match operation:
             case 'list':
-                return _OK, json.dumps(self._names(asked)).encode()
+                return _OK, json.dumps(self._names(query_fields)).encode()
             case 'get' if stored is None:
                 return _NOT_FOUND, b''
             case 'get':
@@ -175,33 +175,33 @@
             case _ if stored is not None:
                 return _NOT_AS_EXPECTED, b''
             case _:
-                self._object_by_name[name] = sent
+                self._object_by_name[name] = body
                 return _OK, b''
 
-    def _names(self, asked: Asked) -> Told:
+    def _names(self, query_fields: Asked) -> Told:
         names = sorted(
             name
             for name in self._object_by_name
-            if name.startswith(asked['path_prefix'])
-            and name > asked.get('after', '')
+            if name.startswith(query_fields['path_prefix'])
+            and name > query_fields.get('after', '')
         )
         return {
             'names': names[:NAMES_MAX],
             'has_more': len(names) > NAMES_MAX,
         }
 
-    def _get(self, asked: Asked) -> Told:
-        start = asked.get('from', '')
-        end = asked.get('target', _AFTER_ALL)
+    def _get(self, query_fields: Asked) -> Told:
+        start = query_fields.get('from', '')
+        end = query_fields.get('target', _AFTER_ALL)
         rows = sorted(
             (
                 row
                 for row in self._row_by_key.values()
-                if row.table == asked['table'] and start <= row.key < end
+                if row.table == query_fields['table'] and start <= row.key < end
             ),
             key=lambda row: row.key,
         )
-        limit = int(asked.get('limit', ROWS_MAX))
+        limit = int(query_fields.get('limit', ROWS_MAX))
         return {
             'rows': [row.told() for row in rows[:limit]],
             'has_more': len(rows) > limit,
@@ -209,10 +209,10 @@
             'now_ms': 1,
         }
 
-    async def _feed(self, asked: Asked) -> Told | None:
-        after = int(asked['after'])
-        table = asked['table']
-        end_ms = self.clock.now_ms() + int(asked['wait_ms'])
+    async def _feed(self, query_fields: Asked) -> Told | None:
+        after = int(query_fields['after'])
+        table = query_fields['table']
+        end_ms = self.clock.now_ms() + int(query_fields['wait_ms'])
         while True:
             if after < self.kept_from:
                 return None
