--- a/bergamotthread/cli/operator_context.py
+++ b/bergamotthread/cli/operator_context.py
@@ -82,15 +82,15 @@
 
     def table(self) -> Table:
         """Return a client of the platform's table."""
-        return self._opened().table(StoreUse.PUBLICATION)
+        return self._open_client().table(StoreUse.PUBLICATION)
 
     def object_store(self) -> ObjectStore:
         """Return a client of the platform's object store."""
-        return self._opened().object_store(StoreUse.PUBLICATION)
+        return self._open_client().object_store(StoreUse.PUBLICATION)
 
     def host_list(self) -> HostList:
         """Return a client of the platform's host list."""
-        return self._opened().hosts()
+        return self._open_client().hosts()
 
     async def read_version(self) -> PublishedVersion:
         """Return the newest published version."""
@@ -137,7 +137,7 @@
         finally:
             await self.close()
 
-    def _opened(self) -> StoreClient:
+    def _open_client(self) -> StoreClient:
         if self._client is None:
             self._client = open_store(self._settings, self.clock)
         return self._client
--- a/bergamotthread/cli/publish.py
+++ b/bergamotthread/cli/publish.py
@@ -94,13 +94,13 @@
     expected, and exits with code 2 if there is one. With --form, checks a
     file that the platform provides to a process instead.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         check = _CHECK_BY_FORM.get(form)
         if check is not None:
             click.echo(f'{path}: valid, {check(path)}')
             return
         object_set = load_object_set(path)
-    click.echo(f'{path}: valid, {_count(object_set)} objects')
+    click.echo(f'{path}: valid, {_count_objects(object_set)} objects')
 
 
 @click.command('diff')
@@ -112,7 +112,7 @@
     The set is checked first. Lines start with + for added objects, - for
     removed objects and ~ for changed fields.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         object_set = load_object_set(path)
         state = context.run(_read_state(context, None))
     click.echo(f'version {state.version}', err=True)
@@ -153,7 +153,7 @@
     Exit codes: 0 accepted, 1 failed, 2 not valid, 3 published but not yet in
     force, 4 conflict, 5 unknown whether the version was published.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         object_set = load_object_set(path)
         draft = Draft(object_set, '', base, note, rebase)
         context.run(_publish(context, draft, credential, timeout_s))
@@ -177,7 +177,7 @@
     --base is the newest version that you know of. The versions in between
     stay in the history. The exit codes are those of publish.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         context.run(_rollback(context, version, base, credential, timeout_s))
 
 
@@ -193,7 +193,7 @@
 
     After editing the set, give that version to publish as --base.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         state = context.run(_read_state(context, version))
     click.echo(f'version {state.version}', err=True)
     encoded = msgspec.json.encode(state.object_set)
@@ -222,10 +222,10 @@
     With --version the command waits and exits as publish does. Use it after
     an interrupted publish to see whether the version is accepted.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         context.run(_print_status(context, history))
         if version is not None:
-            context.run(_wait(context, version, timeout_s))
+            context.run(_wait_until_accepted(context, version, timeout_s))
 
 
 @click.command('forget-host')
@@ -244,7 +244,7 @@
     that is merely paused could admit requests by an older version. The
     command is recorded in the audit trail.
     """
-    with _told_by_exit_code():
+    with _exit_on_error():
         count = context.run(_forget_host(context, address, credential))
     click.echo(f'{address}: {count} registrations removed')
 
@@ -274,7 +274,7 @@
 
 
 @contextlib.contextmanager
-def _told_by_exit_code() -> Iterator[None]:
+def _exit_on_error() -> Iterator[None]:
     try:
         yield
     except ObjectsError as group:
@@ -304,7 +304,7 @@
     )
 
 
-def _count(object_set: ObjectSet) -> int:
+def _count_objects(object_set: ObjectSet) -> int:
     return sum(len(getattr(object_set, kind)) for kind in KINDS)
 
 
@@ -323,7 +323,7 @@
         draft.object_set, who, draft.base, draft.note, draft.rebase
     )
     published = await publisher.publish(attributed)
-    await _tell_published(context, before.state, published, timeout_s)
+    await _report_publication(context, before.state, published, timeout_s)
 
 
 async def _rollback(
@@ -338,10 +338,10 @@
     object_set = before.state.object_set
     who = find_operator(object_set, credential or context.credential).name
     published = await publisher.rollback(version, who=who, base=base)
-    await _tell_published(context, before.state, published, timeout_s)
+    await _report_publication(context, before.state, published, timeout_s)
 
 
-async def _tell_published(
+async def _report_publication(
     context: OperatorContext,
     before: VersionState,
     published: NewestVersion,
@@ -354,7 +354,7 @@
     click.echo(f'published as version {published.state.version}')
     await record_publication(context, published)
     if timeout_s:
-        await _wait(context, published.state.version, timeout_s)
+        await _wait_until_accepted(context, published.state.version, timeout_s)
 
 
 async def _forget_host(
@@ -373,7 +373,7 @@
     return count
 
 
-async def _wait(
+async def _wait_until_accepted(
     context: OperatorContext,
     version: int,
     timeout_s: int,
--- a/bergamotthread/cli/replay.py
+++ b/bergamotthread/cli/replay.py
@@ -35,7 +35,7 @@
     """
     try:
         replayed = replay_trace(trace.read_bytes())
-        expected = _stated(expect) if expect else None
+        expected = _read_outcomes(expect) if expect else None
     except (BergamotError, msgspec.DecodeError) as error:
         raise click.ClickException(str(error)) from error
     if expected is None:
@@ -76,5 +76,5 @@
     return differences
 
 
-def _stated(path: Path) -> tuple[ReplayOutcome, ...]:
+def _read_outcomes(path: Path) -> tuple[ReplayOutcome, ...]:
     return tuple(map(_decoder.decode, path.read_bytes().splitlines()))
--- a/bergamotthread/process/agent.py
+++ b/bergamotthread/process/agent.py
@@ -52,7 +52,7 @@
 IDLE_WAIT_MS = 50
 LOAD_INTERVAL_MS = 250
 MAINTENANCE_INTERVAL_MS = 250
-ENGINE_RETRY_MS = 1000
+ENGINE_DOWN_RETRY_AFTER_MS = 1000
 
 
 @dataclass(frozen=True)
@@ -89,7 +89,7 @@
         clock: Clock,
     ) -> None:
         self.engine_is_up = True
-        self.drain = DrainState(clock, transport.address, self._on_phase)
+        self.drain = DrainState(clock, transport.address, self._on_drain_phase)
         self._teams_by_name: dict[str, Team] = {}
         rules = GateRules(weight_of=self._weight_of)
         self.gate = AdmissionGate(clock, config.gate, rules)
@@ -169,7 +169,7 @@
         published_team = self._teams_by_name.get(team)
         return published_team.weight if published_team else 1
 
-    def _on_phase(self, phase: DrainPhase) -> None:
+    def _on_drain_phase(self, phase: DrainPhase) -> None:
         if phase is DrainPhase.STOPPING:
             self.attempts.hand_over()
             self._flusher.flush()
@@ -178,11 +178,13 @@
         key = AttemptKey.from_dispatch(dispatch)
         buffer = self.attempts.buffers_by_key.get(key)
         if buffer:
-            self._repeat(buffer, dispatch, sender)
+            self._answer_repeated(buffer, dispatch, sender)
             return
         self.refresh_drain()
         if not self.engine_is_up:
-            self._decline(key, sender, 'engine_unreachable', ENGINE_RETRY_MS)
+            self._decline(
+                key, sender, 'engine_unreachable', ENGINE_DOWN_RETRY_AFTER_MS
+            )
             return
         match self.gate.offer(dispatch):
             case Run():
@@ -204,7 +206,7 @@
         admitted = Admitted(dispatch.generation, dispatch.attempt)
         self._transport.send(sender, admitted)
 
-    def _repeat(
+    def _answer_repeated(
         self,
         buffer: OutputBuffer,
         dispatch: Dispatch,
@@ -290,7 +292,7 @@
                 await self._clock.sleep_ms(coalesce_ms)
             self._start_ready()
             self._flush()
-            self._flusher.send_heartbeats(self._awaited_by())
+            self._flusher.send_heartbeats(self._heartbeat_receivers())
             await self._clock.sleep_ms(interval_ms - coalesce_ms)
 
     def _is_idle(self) -> bool:
@@ -332,7 +334,7 @@
                     refused.retry_after_ms,
                 )
 
-    def _awaited_by(self) -> set[str]:
+    def _heartbeat_receivers(self) -> set[str]:
         waiting = set(self._waiting_by_key.values())
         return waiting | self.attempts.active_subscribers()
 
--- a/bergamotthread/process/agent_process.py
+++ b/bergamotthread/process/agent_process.py
@@ -26,8 +26,8 @@
 from bergamotthread.version.distribution import VersionHolder
 from bergamotthread.wire.messages import Envelope
 
-CHECK_INTERVAL_MS = 100
-MAX_HEARD_ENTRIES = 8
+VERSION_CHECK_INTERVAL_MS = 100
+MAX_RECENT_ENTRIES = 8
 
 
 def make_agent(
@@ -79,10 +79,10 @@
             None,
             transport,
             clock,
-            self._entries,
+            self._entries_by_recency,
         )
         self._settings = settings
-        self._heard_entries: OrderedDict[str, None] = OrderedDict()
+        self._recent_entries: OrderedDict[str, None] = OrderedDict()
         self._clock = clock
 
     @classmethod
@@ -122,21 +122,21 @@
 
     def on_message(self, envelope: Envelope) -> None:
         """Pass a message to the parts that handle its type."""
-        self._hear(envelope.sender)
+        self._record_sender(envelope.sender)
         self.versions.on_message(envelope)
         self.agent.on_message(envelope)
         if self._orders is not None:
             self._orders.on_message(envelope)
 
-    def _hear(self, entry: str) -> None:
-        self._heard_entries[entry] = None
-        self._heard_entries.move_to_end(entry)
-        if len(self._heard_entries) > MAX_HEARD_ENTRIES:
-            self._heard_entries.popitem(last=False)
+    def _record_sender(self, entry: str) -> None:
+        self._recent_entries[entry] = None
+        self._recent_entries.move_to_end(entry)
+        if len(self._recent_entries) > MAX_RECENT_ENTRIES:
+            self._recent_entries.popitem(last=False)
 
-    def _entries(self) -> tuple[str, ...]:
+    def _entries_by_recency(self) -> tuple[str, ...]:
         """Return the entries to ask for the version, latest sender first."""
-        latest_first = reversed(self._heard_entries)
+        latest_first = reversed(self._recent_entries)
         return tuple(dict.fromkeys((*latest_first, *self._settings.entries)))
 
     def _host_watch(self, store: StoreClient) -> OwnHostWatch:
@@ -164,7 +164,7 @@
             if published is not None and published.version != applied_version:
                 applied_version = published.version
                 self.agent.apply_version(published)
-            await self._clock.sleep_ms(CHECK_INTERVAL_MS)
+            await self._clock.sleep_ms(VERSION_CHECK_INTERVAL_MS)
 
 
 def _order_inbox(
--- a/bergamotthread/process/entry_app.py
+++ b/bergamotthread/process/entry_app.py
@@ -138,7 +138,7 @@
                 *explanation_routes(self._parts.explanations, self._version),
                 *health_routes(self._parts.metrics.registry, self.readiness),
             ],
-            exception_handlers={RefusedError: self._refuse},
+            exception_handlers={RefusedError: self._handle_refused_error},
         )
 
     def readiness(self) -> Readiness:
@@ -151,10 +151,12 @@
     async def complete(self, request: Request) -> Response:
         """Answer `POST /v1/completions`."""
         body = await request.body()
-        published = self._published()
+        published = self._version_for_request()
         team = self._admit_team(request, published)
         try:
-            live, stream, streams = self._open(request, body, team, published)
+            live, stream, streams = self._open_completion(
+                request, body, team, published
+            )
         except RefusedError:
             self._parts.teams.release(team)
             raise
@@ -162,12 +164,12 @@
         self.open_requests += 1
         if streams:
             return self._event_stream(live, stream, team)
-        return await self._whole(request, live, stream, team)
+        return await self._json_answer(request, live, stream, team)
 
     async def call(self, request: Request) -> Response:
         """Answer `/v1/services/{service}/{path}`."""
         body = await request.body()
-        published = self._published()
+        published = self._version_for_request()
         team = self._admit_team(request, published)
         self.open_requests += 1
         try:
@@ -206,10 +208,10 @@
         answer = await self._parts.calls.run(
             build_call_request(parts, published, self._parts.region),
         )
-        self._parts.metrics.called(self._clock.now_ms() - started_ms)
+        self._parts.metrics.record_call(self._clock.now_ms() - started_ms)
         return answer
 
-    def _open(
+    def _open_completion(
         self,
         request: Request,
         body: bytes,
@@ -232,7 +234,7 @@
     def _version(self) -> PublishedVersion:
         return self._parts.versions.admit()
 
-    def _published(self) -> PublishedVersion:
+    def _version_for_request(self) -> PublishedVersion:
         if self.draining:
             raise RefusedError(_draining_refusal())
         published = self._version()
@@ -251,7 +253,7 @@
         refusal = self._parts.teams.try_admit(team)
         if refusal is not None:
             raise RefusedError(refusal)
-        self._parts.metrics.admitted()
+        self._parts.metrics.count_request()
         return team
 
     def _event_stream(
@@ -262,11 +264,11 @@
     ) -> Response:
         return EventStreamResponse(
             stream.events(),
-            on_close=lambda: self._leave(live, team),
+            on_close=lambda: self._release_reader(live, team),
             headers={_REQUEST_ID_HEADER: live.generation.spec.generation},
         )
 
-    async def _whole(
+    async def _json_answer(
         self,
         request: Request,
         live: LiveGeneration,
@@ -280,7 +282,7 @@
                 wait_for_disconnect(request.receive),
             )
         finally:
-            self._leave(live, team)
+            self._release_reader(live, team)
         if answers:
             return Response(
                 answers[0],
@@ -291,16 +293,18 @@
             self._parts.generations.cancel(live)
         return Response(status_code=_CLIENT_CLOSED_STATUS)
 
-    def _leave(self, live: LiveGeneration, team: str) -> None:
+    def _release_reader(self, live: LiveGeneration, team: str) -> None:
         live.readers -= 1
         self.open_requests -= 1
         live.abandoned_ms = self._clock.now_ms()
         self._parts.teams.release(team)
 
-    async def _refuse(self, request: Request, error: Exception) -> Response:
+    async def _handle_refused_error(
+        self, request: Request, error: Exception
+    ) -> Response:
         if not isinstance(error, RefusedError):
             raise error
-        refusal = _with_request(error.refusal, request)
+        refusal = _add_request_context(error.refusal, request)
         return problem_response(self._recorder.stamp(refusal))
 
 
@@ -308,7 +312,7 @@
     answers.append(await stream.complete_answer())
 
 
-def _with_request(refusal: Refusal, request: Request) -> Refusal:
+def _add_request_context(refusal: Refusal, request: Request) -> Refusal:
     """Return a refusal with team and version filled in from its request."""
     team = getattr(request.state, 'team', '')
     version = getattr(request.state, 'config_version', 0)
--- a/bergamotthread/process/entry_metrics.py
+++ b/bergamotthread/process/entry_metrics.py
@@ -44,30 +44,30 @@
             'Time of calls of plain services.',
         )
 
-    def admitted(self) -> None:
+    def count_request(self) -> None:
         """Count an admitted request."""
         self._requests.increment()
 
-    def refused(self, reason: ReasonCode) -> None:
+    def count_refusal(self, reason: ReasonCode) -> None:
         """Count a refusal."""
         self._refusals.increment(str(reason))
 
-    def lost(self, cause: str) -> None:
+    def count_loss(self, cause: str) -> None:
         """Count a lost attempt."""
         self._losses.increment(cause)
 
-    def tokens(self, count: int) -> None:
+    def count_tokens(self, count: int) -> None:
         """Count accepted tokens."""
         self._tokens.increment(count)
 
-    def resumed(self, duration_ms: float) -> None:
+    def record_resume(self, duration_ms: float) -> None:
         """Record the duration of a resume."""
         self._resumes.record(duration_ms)
 
-    def first_token(self, duration_ms: float) -> None:
+    def record_first_token(self, duration_ms: float) -> None:
         """Record the time to the first token."""
         self._firsts.record(duration_ms)
 
-    def called(self, duration_ms: float) -> None:
+    def record_call(self, duration_ms: float) -> None:
         """Record the duration of a call of a plain service."""
         self._calls.record(duration_ms)
--- a/bergamotthread/process/entry_process.py
+++ b/bergamotthread/process/entry_process.py
@@ -80,18 +80,18 @@
         self._store = store
         self._clock = clock
         self._subset_entries: tuple[str, ...] = ()
-        self._start_records()
-        self._start_control()
-        self._start_generations()
+        self._create_recorders()
+        self._create_control()
+        self._create_generations()
         self.calls = CallRunner(
             store.table(StoreUse.CALLS),
             store.object_store(StoreUse.CALLS),
             transport,
             clock,
         )
-        self._start_drain()
+        self._create_drain()
         self.cleaner = CallCleaner(store.table(StoreUse.AUDIT), clock)
-        self.app = EntryApp(self._parts(), self._recorder, clock)
+        self.app = EntryApp(self._app_parts(), self._recorder, clock)
         self.server = HttpServer(
             create_http_config(
                 self.app.starlette(),
@@ -138,7 +138,7 @@
                     self.quarantines.run(),
                     self._drain.run(),
                     self._follow_versions(),
-                    self._follow_members(),
+                    self._follow_membership(),
                 ):
                     group.create_task(work)
         finally:
@@ -177,7 +177,7 @@
         self.quarantines.on_message(envelope)
         self.generations.on_message(envelope)
 
-    def put_in_force(self, published: PublishedVersion) -> None:
+    def apply_version(self, published: PublishedVersion) -> None:
         """Use a published version from now on, unless it is not newer."""
         if published.version <= self.generations.config_version:
             return
@@ -185,7 +185,7 @@
         self.drain_state.apply_stops(published.object_set.stops)
         self.generations.apply_version(published)
 
-    def _start_control(self) -> None:
+    def _create_control(self) -> None:
         settings = self._settings
         self.demand = PinDemand(self._clock)
         self.control = EntryControl(
@@ -215,7 +215,7 @@
             place=settings.place,
         )
 
-    def _start_drain(self) -> None:
+    def _create_drain(self) -> None:
         self.drain_state = DrainState(self._clock, self.transport.address)
         reporter = DrainReporter(
             self._store.table(StoreUse.LEASES),
@@ -226,12 +226,12 @@
         self._drain = DrainRunner(
             self.drain_state,
             reporter,
-            self._held_by,
+            self._remaining_work,
             self._refresh_drain,
             self._clock,
         )
 
-    def _held_by(self) -> tuple[str, ...]:
+    def _remaining_work(self) -> tuple[str, ...]:
         if self.app.open_requests:
             return (f'{self.app.open_requests} requests',)
         return ()
@@ -239,7 +239,7 @@
     def _refresh_drain(self) -> None:
         self.app.draining = not self.drain_state.may_dispatch()
 
-    def _start_records(self) -> None:
+    def _create_recorders(self) -> None:
         audit_store = self._store.object_store(StoreUse.AUDIT)
         self.explanations = Explanations(
             audit_store,
@@ -255,7 +255,7 @@
             self.transport.address,
         )
 
-    def _start_generations(self) -> None:
+    def _create_generations(self) -> None:
         self.quarantines = Quarantines(
             self.transport,
             self._store.table(StoreUse.CALLS),
@@ -290,7 +290,7 @@
             self._recorder.stamp,
         )
 
-    def _parts(self) -> EntryParts:
+    def _app_parts(self) -> EntryParts:
         return EntryParts(
             completions=self.completions,
             generations=self.generations,
@@ -300,7 +300,7 @@
             explanations=self.explanations,
             metrics=self.metrics,
             region=self._settings.place.region,
-            put_in_force=self.put_in_force,
+            put_in_force=self.apply_version,
         )
 
     def _version(self) -> int:
@@ -326,11 +326,11 @@
         while True:
             published = self.versions.current
             if published is not None:
-                self.put_in_force(published)
+                self.apply_version(published)
             self.completions.evict_released()
             await self._clock.sleep_ms(VERSION_CHECK_INTERVAL_MS)
 
-    async def _follow_members(self) -> None:
+    async def _follow_membership(self) -> None:
         """Choose the subset of upstreams again when the live entries change."""
         while True:
             await self._clock.sleep_ms(SUBSET_INTERVAL_MS)
--- a/bergamotthread/process/explanations/refusal_recorder.py
+++ b/bergamotthread/process/explanations/refusal_recorder.py
@@ -25,7 +25,7 @@
         """Record a refusal and return it with the id that explains it."""
         unnamed = msgspec.structs.replace(refusal, request_id='')
         stamped = self._explanations.record(unnamed)
-        self._metrics.refused(stamped.reason)
+        self._metrics.count_refusal(stamped.reason)
         logging.info(
             'refused %s: %s',
             stamped.reason,
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -264,7 +264,7 @@
         place = live.generation.place
         live.interrupted_ms = self._clock.now_ms()
         live.must_spend_retry = True
-        self._metrics.lost(lost.cause)
+        self._metrics.count_loss(lost.cause)
         logging.warning(
             'attempt lost: %s',
             lost.cause,
--- a/bergamotthread/process/generations/generations.py
+++ b/bergamotthread/process/generations/generations.py
@@ -300,16 +300,16 @@
 
     def _record_tokens(self, live: LiveGeneration, count: int) -> None:
         now_ms = self._clock.now_ms()
-        self._metrics.tokens(count)
+        self._metrics.count_tokens(count)
         if live.has_output:
             live.silence_detector.record(now_ms)
             return
         live.silence_detector.restart(now_ms)
         live.has_output = True
         if live.interrupted_ms:
-            self._metrics.resumed(now_ms - live.interrupted_ms)
+            self._metrics.record_resume(now_ms - live.interrupted_ms)
         else:
-            self._metrics.first_token(now_ms - live.started_ms)
+            self._metrics.record_first_token(now_ms - live.started_ms)
 
     def _on_declined(self, declined: Declined, envelope: Envelope) -> None:
         live = self._find_current(
--- a/bergamotthread/process/metrics.py
+++ b/bergamotthread/process/metrics.py
@@ -110,7 +110,7 @@
         """Record one duration in milliseconds."""
         self._buffer.append(duration_ms)
         if len(self._buffer) >= BUFFERED_VALUES:
-            self._fold()
+            self._flush_buffer()
 
     def percentile(self, quantile: float) -> float:
         """Return a quantile (0 to 1) of the recent durations, in ms."""
@@ -126,13 +126,13 @@
         yield f'{name}_count {self._count}'
 
     def _window(self) -> HdrHistogram:
-        self._fold()
+        self._flush_buffer()
         window = _new_histogram()
         window.add(self._previous)
         window.add(self._current)
         return window
 
-    def _fold(self) -> None:
+    def _flush_buffer(self) -> None:
         self._rotate()
         self._count += len(self._buffer)
         self._sum_ms += sum(self._buffer)
--- a/bergamotthread/process/settings_checks.py
+++ b/bergamotthread/process/settings_checks.py
@@ -80,7 +80,7 @@
         path for path, key in given.items() if not _is_curve_key(key)
     ]
     for path in invalid_paths:
-        yield Problem(path, _conceal(given[path]), _CURVE_KEY)
+        yield Problem(path, _redact(given[path]), _CURVE_KEY)
     if not invalid_paths and not _is_curve_pair(keys):
         yield Problem(
             '$.keys.curve_public',
@@ -112,7 +112,7 @@
         if not _is_cursor_key(key):
             yield Problem(
                 f'$.keys.cursor_keys[{index}]',
-                _conceal(key),
+                _redact(key),
                 f'at least {MIN_CURSOR_KEY_BYTES} bytes in hex',
             )
 
@@ -152,15 +152,15 @@
         return
     keys = settings.keys
     if _is_exposed(settings.place.address) and not keys.curve_public:
-        yield _unprotected('curve_public', settings.place.address)
+        yield _missing_key_problem('curve_public', settings.place.address)
     if not isinstance(settings, EntrySettings):
         return
     if not _is_exposed(settings.listen):
         return
     if not keys.tls_certificate_file:
-        yield _unprotected('tls_certificate_file', settings.listen)
+        yield _missing_key_problem('tls_certificate_file', settings.listen)
     if not keys.cursor_keys:
-        yield _unprotected('cursor_keys', settings.listen)
+        yield _missing_key_problem('cursor_keys', settings.listen)
 
 
 def _is_exposed(text: str) -> bool:
@@ -170,7 +170,7 @@
         return False
 
 
-def _unprotected(field: str, address: str) -> Problem:
+def _missing_key_problem(field: str, address: str) -> Problem:
     return Problem(
         f'$.keys.{field}',
         '(missing)',
@@ -179,5 +179,5 @@
     )
 
 
-def _conceal(secret: str) -> str:
+def _redact(secret: str) -> str:
     return f'({len(secret)} characters)'
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -103,7 +103,7 @@
         tasks = [asyncio.create_task(part) for part in parts]
         await entry.versions.wait_serving()
         published = entry.versions.admit()
-        entry.put_in_force(published)
+        entry.apply_version(published)
         request = CompletionRequest('furnace', PROMPT, max_tokens=COUNT)
         live, _ = entry.completions.open(request, Caller(TEAM), published)
         live.readers += 1
