--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -80,17 +80,17 @@
 
 
 def _show_counts(plan: Plan, records: Records) -> None:
-    count_by_kind = Counter(call.kind.name for call in records.asked)
+    count_by_kind = Counter(call.kind.name for call in records.calls)
     kinds = ', '.join(
         f'{name.lower()} {count}' for name, count in count_by_kind.items()
     )
-    whole_count = sum(call.ending is Ending.WHOLE for call in records.asked)
+    whole_count = sum(call.ending is Ending.WHOLE for call in records.calls)
     click.echo(
-        f'seed {plan.seed}: {len(records.asked)} requests ({kinds}),'
-        f' {whole_count} whole, {len(records.ran)} runs',
+        f'seed {plan.seed}: {len(records.calls)} requests ({kinds}),'
+        f' {whole_count} whole, {len(records.runs)} runs',
     )
     click.echo(
-        f'  {len(plan.faults)} faults, {len(records.published)} versions',
+        f'  {len(plan.faults)} faults, {len(records.publications)} versions',
     )
 
 
@@ -105,7 +105,7 @@
     lines_by_request = soak.records.lines_by_request
     for finding in findings[:_SHOWN_MAX]:
         click.echo(f'  {finding.rule}: {finding.detail} {finding.request}')
-        for call in soak.records.asked:
+        for call in soak.records.calls:
             if finding.request and call.request == finding.request:
                 click.echo(f'    {call}'[:600])
         for line in lines_by_request.get(finding.request, ())[:_LINES_MAX]:
--- a/soak/answer_checks.py
+++ b/soak/answer_checks.py
@@ -8,18 +8,18 @@
 
 from bergamotthread.process.relay.decision_log import FLUSH_INTERVAL_MS
 from soak.findings import BUSY_MS, SETTLE_MS, Finding
-from soak.records import Asked, Ending, Ran, Records
+from soak.records import Call, Ending, Records, Run
 from standins.platform_runner import STREAM_EVENTS, event_of
 
 # The platform's rules: work for a caller that has left ends within half a
 # second, except for at most a quarter of such requests.
-GONE_MS = 500
-GONE_SHARE = 0.25
+CANCEL_TIMEOUT_MS = 500
+UNCANCELLED_MAX_FRACTION = 0.25
 # This many are always allowed, since a fraction of few requests means little.
-GONE_MIN = 2
+UNCANCELLED_ALLOWED_MIN = 2
 # The decision log never blocks, so lines that a process has not yet written
 # when it is killed are lost.
-UNWRITTEN_MS = 2 * FLUSH_INTERVAL_MS
+LOG_LOSS_WINDOW_MS = 2 * FLUSH_INTERVAL_MS
 _OK = 200
 _NOT_RUN = frozenset((408, 421, 429, 503))
 _EVENT = re.compile(rb'id: (\d+)\ndata: t\d+ (\S+)\n\n')
@@ -28,7 +28,7 @@
 
 def check_whole(records: Records) -> Iterable[Finding]:
     """Find successful answers that are unsigned or have a wrong body."""
-    for call in records.asked:
+    for call in records.calls:
         if call.ending is not Ending.WHOLE or call.status != _OK:
             continue
         if not call.sealed:
@@ -41,7 +41,7 @@
             )
 
 
-def _check_events(call: Asked) -> Iterable[Finding]:
+def _check_events(call: Call) -> Iterable[Finding]:
     expected = b''.join(
         event_of(call.request.encode(), number + 1)
         for number in range(STREAM_EVENTS)
@@ -59,7 +59,7 @@
 
 def check_prefix(records: Records) -> Iterable[Finding]:
     """Find streams, complete or cut, whose events are not in order."""
-    for call in records.asked:
+    for call in records.calls:
         if not call.kind.is_stream or call.status != _OK:
             continue
         numbers = [int(number) for number, _ in _EVENT.findall(call.body)]
@@ -69,7 +69,7 @@
 
 def check_once(records: Records) -> Iterable[Finding]:
     """Find requests that ran more than once although they must not."""
-    kinds = {call.request: call.kind for call in records.asked}
+    kinds = {call.request: call.kind for call in records.calls}
     for request, runs in records.runs_by_request().items():
         kind = kinds.get(request)
         if kind is not None and kind.runs_once and len(runs) > 1:
@@ -82,7 +82,7 @@
 def check_not_run(records: Records) -> Iterable[Finding]:
     """Find refusals that say "not run" for a request that ran at any time."""
     runs = records.runs_by_request()
-    for call in records.asked:
+    for call in records.calls:
         says_not_run = call.status in _NOT_RUN and not call.sealed
         if call.kind.runs_once and says_not_run and call.request in runs:
             yield Finding('refused', f'{call.status}', call.request)
@@ -93,16 +93,18 @@
     runs = records.runs_by_request()
     left = [
         call
-        for call in records.asked
+        for call in records.calls
         if call.ending is Ending.LEFT
         and call.request in runs
-        and records.is_calm(
+        and records.is_undisturbed(
             call.sent_ms - SETTLE_MS,
             call.ended_ms + SETTLE_MS,
         )
     ]
     continued = [call for call in left if _is_worked_on(call, runs)]
-    allowed_count = max(GONE_SHARE * len(left), GONE_MIN)
+    allowed_count = max(
+        UNCANCELLED_MAX_FRACTION * len(left), UNCANCELLED_ALLOWED_MIN
+    )
     if len(continued) > allowed_count:
         detail = (
             f'{len(continued)} of {len(left)} still run after the caller left'
@@ -110,16 +112,16 @@
         yield Finding('gone', detail, continued[0].request)
 
 
-def _is_worked_on(call: Asked, runs: dict[str, list[Ran]]) -> bool:
+def _is_worked_on(call: Call, runs: dict[str, list[Run]]) -> bool:
     last_run = runs[call.request][-1]
-    limit_ms = call.ended_ms + GONE_MS + BUSY_MS
+    limit_ms = call.ended_ms + CANCEL_TIMEOUT_MS + BUSY_MS
     return last_run.ended_ms is None or last_run.ended_ms > limit_ms
 
 
 def check_answered(records: Records) -> Iterable[Finding]:
     """Find requests that an undisturbed entry did not answer."""
-    for call in records.asked:
-        if call.ending is Ending.UNANSWERED and records.is_calm(
+    for call in records.calls:
+        if call.ending is Ending.UNANSWERED and records.is_undisturbed(
             call.sent_ms - SETTLE_MS,
             call.ended_ms,
         ):
@@ -132,13 +134,13 @@
     """Find failures of an entry itself that its log does not explain."""
     if records.dropped_lines:
         return
-    for call in records.asked:
+    for call in records.calls:
         is_own_failure = call.status >= 500 and not call.sealed
         if not is_own_failure or call.ending is not Ending.WHOLE:
             continue
         lines = records.lines_by_request.get(call.request, ())
         remaining_ms = _life_left_ms(records, call)
-        is_lost = 0 <= remaining_ms < UNWRITTEN_MS
+        is_lost = 0 <= remaining_ms < LOG_LOSS_WINDOW_MS
         is_explained = any(_EXPLAINS.search(line) for line in lines)
         if not is_explained and not is_lost:
             detail = (
@@ -147,14 +149,14 @@
             yield Finding('explained', detail, call.request)
 
 
-def _life_left_ms(records: Records, call: Asked) -> float:
+def _life_left_ms(records: Records, call: Call) -> float:
     """Return the time from an answer to the kill of its process.
 
     It is infinite if the process was not killed.
     """
     kills_ms = [
         kill.at_ms
-        for kill in records.killed
-        if (kill.entry, kill.life) == (call.entry, call.life)
+        for kill in records.entry_kills
+        if (kill.entry, kill.incarnation) == (call.entry, call.incarnation)
     ]
     return min(kills_ms, default=math.inf) - call.ended_ms
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -10,7 +10,7 @@
 
 from bergamotthread.clock import Clock
 from bergamotthread.testing.loopback import connect
-from soak.records import Asked, Ending, Kind
+from soak.records import Call, Ending, Kind
 from standins.platform_runner import REQUEST_ID, SEAL
 
 # Deadline of a stream. A stream of the stand-ins lasts about 3 s; more than
@@ -18,15 +18,15 @@
 STREAM_TIME_MS = 15_000
 PLAIN_TIME_MS = 1500
 # Time that a caller waits for an answer after the deadline of its request.
-LAST_WORD_MS = 3000
+ANSWER_GRACE_MS = 3000
 # Fraction of the requests whose caller disconnects within a second.
-LEAVING_SHARE = 0.1
+LEAVING_FRACTION = 0.1
 # Fraction of the requests with a key that may be revoked during the soak, and
 # fraction of the lookups for a route that a published version added.
-SPARE_KEY_SHARE = 0.2
-ADDED_ROUTE_SHARE = 0.2
+REVOCABLE_KEY_FRACTION = 0.2
+ADDED_ROUTE_FRACTION = 0.2
 # Delay before callers look again while the balancer's rotation is empty.
-NO_PLACE_MS = 50
+NO_ENTRY_RETRY_MS = 50
 _DRAWN_KINDS = (
     *(Kind.STREAM,) * 5,
     Kind.ONCE_STREAM,
@@ -52,7 +52,7 @@
 
     name: str
     address: str
-    life: int
+    incarnation: int
 
 
 @dataclass(frozen=True)
@@ -108,7 +108,7 @@
         clock: Clock,
         seed: int,
     ) -> None:
-        self.asked: list[Asked] = []
+        self.calls: list[Call] = []
         self._name = name
         self._choices = choices
         self._clock = clock
@@ -134,12 +134,16 @@
         kind = rng.choice(_DRAWN_KINDS)
         path = str(kind)
         added = self._choices.added_paths()
-        if added and kind is Kind.LOOKUP and rng.random() < ADDED_ROUTE_SHARE:
+        if (
+            added
+            and kind is Kind.LOOKUP
+            and rng.random() < ADDED_ROUTE_FRACTION
+        ):
             path = rng.choice(added)
         key = self._choices.lasting_key
-        if rng.random() < SPARE_KEY_SHARE:
+        if rng.random() < REVOCABLE_KEY_FRACTION:
             key = rng.choice(self._choices.other_keys)
-        is_leaving = rng.random() < LEAVING_SHARE
+        is_leaving = rng.random() < LEAVING_FRACTION
         leaves_after_ms = rng.uniform(100, 1000) if is_leaving else None
         name = f'{self._name}-{number}'
         return Request(name, kind, path, key, leaves_after_ms)
@@ -149,14 +153,14 @@
         sent_ms = self._clock.now_ms()
         answer = Answer()
         ending = await self._ending(request, place, answer)
-        self.asked.append(
-            Asked(
+        self.calls.append(
+            Call(
                 request.name,
                 request.kind,
                 request.path,
                 request.key,
                 place.name,
-                place.life,
+                place.incarnation,
                 sent_ms,
                 self._clock.now_ms(),
                 ending,
@@ -179,7 +183,7 @@
         self._close()
         places = self._choices.places()
         while not places:
-            await self._clock.sleep_ms(NO_PLACE_MS)
+            await self._clock.sleep_ms(NO_ENTRY_RETRY_MS)
             places = self._choices.places()
         self._place = self._rng.choice(places)
         return self._place
@@ -191,7 +195,7 @@
         answer: Answer,
     ) -> Ending:
         leaves_after_ms = request.leaves_after_ms
-        timeout_ms = leaves_after_ms or request.time_ms + LAST_WORD_MS
+        timeout_ms = leaves_after_ms or request.time_ms + ANSWER_GRACE_MS
         try:
             async with asyncio.timeout(timeout_ms / _MS_PER_S):
                 return await self._exchange(request, place, answer)
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -17,7 +17,7 @@
 from soak.plan import Plan
 from soak.programs import Program
 from soak.proxy import LoopbackProxy
-from soak.records import Published, Ran, Records
+from soak.records import PublicationRecord, Records, Run
 from soak.runner_process import ENDED
 from soak.store_process import DONE
 from standins.platform_runner import (
@@ -63,7 +63,7 @@
     def place(self) -> Place:
         """Return the address and incarnation of the entry."""
         address = f'{self.place_ip}:{FRONT_PORT}'
-        return Place(self.program.name, address, self.program.life)
+        return Place(self.program.name, address, self.program.incarnation)
 
 
 @dataclass
@@ -79,7 +79,7 @@
     @property
     def instance(self) -> str:
         """Return the name of the current process."""
-        return f'{self.program.name}-{self.program.life}'
+        return f'{self.program.name}-{self.program.incarnation}'
 
 
 class SoakDeployment:
@@ -108,7 +108,7 @@
         self.runners = [self._runner(number) for number in range(plan.runners)]
         self._version = 0
         self._added: tuple[str, ...] = ()
-        self._pending: dict[str, Published] = {}
+        self._pending: dict[str, PublicationRecord] = {}
         self._open_runs: dict[tuple[str, str], float] = {}
 
     @property
@@ -148,7 +148,7 @@
         """Start a runner as a new incarnation and write its row."""
         program = runner.program
         address = str(program.arguments[1])
-        instance = f'{program.name}-{program.life + 1}'
+        instance = f'{program.name}-{program.incarnation + 1}'
         program.arguments = _runner_arguments(address, instance)
         await program.start()
         await self.list_runner(runner, 'ready')
@@ -159,7 +159,7 @@
             runner.link.address,
             runner.service,
             runner.zone,
-            born=runner.program.life,
+            born=runner.program.incarnation,
             state=state,
         )
         await self.order_store(
@@ -198,7 +198,7 @@
             ),
         )
         mark = f'version-{self._version}'
-        self._pending[mark] = Published(self._version, 0, path, revoked)
+        self._pending[mark] = PublicationRecord(self._version, 0, path, revoked)
         await self.order_store(
             StoreOrder('op', 'config', manifest_content, mark=mark),
         )
@@ -206,7 +206,7 @@
     def close_records(self) -> None:
         """Record the runs that have not ended."""
         for (runner, request), at_ms in self._open_runs.items():
-            self.records.ran.append(Ran(request, runner, at_ms))
+            self.records.runs.append(Run(request, runner, at_ms))
 
     # processes
 
@@ -253,8 +253,8 @@
         publication = self._pending.pop(mark, None)
         if word != DONE or publication is None:
             return
-        self.records.published.append(
-            Published(
+        self.records.publications.append(
+            PublicationRecord(
                 publication.version,
                 float(at_ms),
                 publication.path,
@@ -270,12 +270,12 @@
         started_ms = self._open_runs.pop((runner, request), None)
         if word == ENDED:
             started_ms = at_ms if started_ms is None else started_ms
-            self.records.ran.append(Ran(request, runner, started_ms, at_ms))
+            self.records.runs.append(Run(request, runner, started_ms, at_ms))
             return
         if started_ms is not None:
             # The process was killed during the run, and its successor runs the
             # request again.
-            self.records.ran.append(Ran(request, runner, started_ms))
+            self.records.runs.append(Run(request, runner, started_ms))
         self._open_runs[runner, request] = at_ms
 
     def _on_log_line(self, line: str) -> None:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -11,12 +11,12 @@
 from soak.orders import RunnerOrder, StoreOrder, encode_order
 from soak.plan import Fault, FaultKind
 from soak.programs import Program
-from soak.records import Killed, Stopped
+from soak.records import EntryKill, PlannedStop
 from standins.platform_settings import GRACE_S
 
 # Time until the balancer removes a stopping process from its rotation: it
 # probes each second and removes a process after two failed probes.
-OUT_OF_ROTATION_S = 2.0
+BALANCER_REMOVAL_S = 2.0
 OUT_AFTER_KILL_S = 0.5
 # Time after which the platform removes the row of a runner that has ended.
 LAPSE_S = 2.0
@@ -46,7 +46,7 @@
 }
 
 
-async def strike(soak: SoakDeployment, fault: Fault) -> None:
+async def play_fault(soak: SoakDeployment, fault: Fault) -> None:
     """Play a fault and return once it is over."""
     on_entry = _ON_ENTRY.get(fault.kind)
     on_runner = _ON_RUNNER.get(fault.kind)
@@ -84,7 +84,9 @@
 ) -> None:
     program = entry.program
     now_ms = soak.clock.now_ms()
-    soak.records.killed.append(Killed(program.name, program.life, now_ms))
+    soak.records.entry_kills.append(
+        EntryKill(program.name, program.incarnation, now_ms)
+    )
     program.signal(signal.SIGKILL)
     await asyncio.sleep(OUT_AFTER_KILL_S)
     entry.is_offered = False
@@ -96,13 +98,13 @@
 async def _stop_entry(
     soak: SoakDeployment, entry: EntryNode, fault: Fault
 ) -> None:
-    incarnation = entry.program.life
+    incarnation = entry.program.incarnation
     at_ms = soak.clock.now_ms()
     entry.program.signal(signal.SIGTERM)
-    await asyncio.sleep(OUT_OF_ROTATION_S)
+    await asyncio.sleep(BALANCER_REMOVAL_S)
     entry.is_offered = False
     ended_ms: float | None = None
-    remaining_s = GRACE_S - OUT_OF_ROTATION_S
+    remaining_s = GRACE_S - BALANCER_REMOVAL_S
     try:
         async with asyncio.timeout(remaining_s + 1):
             await entry.program.wait()
@@ -110,8 +112,8 @@
     except TimeoutError:
         entry.program.signal(signal.SIGKILL)
         await entry.program.wait()
-    soak.records.stopped.append(
-        Stopped(entry.program.name, incarnation, at_ms, ended_ms),
+    soak.records.planned_stops.append(
+        PlannedStop(entry.program.name, incarnation, at_ms, ended_ms),
     )
     await _start_entry(soak, entry)
 
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -54,13 +54,13 @@
     ),
 )
 # Quiet time at the start and at the end of a soak.
-LEAD_S = 2.0
-REST_S = 3.0
+QUIET_START_S = 2.0
+QUIET_END_S = 3.0
 # In each cycle, a phase with faults of all kinds is followed by a phase with
 # planned operations only. No faults start before and after the second phase, so
 # that rules that hold only without disturbance are checked too. These gaps are
 # longer than the longest fault and the time to settle after it.
-STORM_S = 9.0
+MIXED_PHASE_S = 9.0
 PLANNED_FROM_S = 22.0
 PLANNED_S = 5.0
 CYCLE_S = 36.0
@@ -123,8 +123,8 @@
         entries = max(2, processes // 4)
         runners = max(3, processes - entries - 1)
         faults: list[Fault] = []
-        at_s = LEAD_S
-        while at_s < seconds - REST_S:
+        at_s = QUIET_START_S
+        while at_s < seconds - QUIET_END_S:
             allowed_kinds = _kinds_at(at_s, kinds_drawn)
             if not allowed_kinds:
                 at_s += 1
@@ -154,8 +154,8 @@
     kinds: Sequence[FaultKind],
 ) -> tuple[FaultKind, ...]:
     """Return the kinds of fault that may start at this time of the soak."""
-    phase_s = (at_s - LEAD_S) % CYCLE_S
-    if phase_s < STORM_S:
+    phase_s = (at_s - QUIET_START_S) % CYCLE_S
+    if phase_s < MIXED_PHASE_S:
         return tuple(kinds)
     if PLANNED_FROM_S <= phase_s < PLANNED_FROM_S + PLANNED_S:
         return tuple(kind for kind in kinds if kind in PLANNED)
--- a/soak/programs.py
+++ b/soak/programs.py
@@ -35,13 +35,13 @@
     on_line: OnLine
     variables: dict[str, str] = field(default_factory=dict)
     folder: pathlib.Path | None = None
-    life: int = 0
+    incarnation: int = 0
     process: asyncio.subprocess.Process | None = None
     _reading: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Start the process."""
-        self.life += 1
+        self.incarnation += 1
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             '-m',
--- a/soak/records.py
+++ b/soak/records.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class Call:
     """A request that a caller sent, and the answer it got.
 
     Parameters
@@ -59,7 +59,7 @@
     path: str
     key: str
     entry: str
-    life: int
+    incarnation: int
     sent_ms: float
     ended_ms: float
     ending: Ending
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Ran:
+class Run:
     """A run of a request at a back end; no end if none was reported."""
 
     request: str
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class Published:
+class PublicationRecord:
     """A configuration version that the operator published.
 
     Parameters
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True)
-class Struck:
+class PlayedFault:
     """A disturbing fault that was played, with its start and end."""
 
     kind: str
@@ -107,21 +107,21 @@
 
 
 @dataclass(frozen=True)
-class Stopped:
+class PlannedStop:
     """A planned stop of an entry; no end if its process had to be killed."""
 
     entry: str
-    life: int
+    incarnation: int
     at_ms: float
     ended_ms: float | None
 
 
 @dataclass(frozen=True)
-class Killed:
+class EntryKill:
     """A kill of an entry's process without notice."""
 
     entry: str
-    life: int
+    incarnation: int
     at_ms: float
 
 
@@ -137,26 +137,26 @@
 class Records:
     """All records of a soak."""
 
-    asked: list[Asked] = field(default_factory=list)
-    ran: list[Ran] = field(default_factory=list)
-    published: list[Published] = field(default_factory=list)
-    struck: list[Struck] = field(default_factory=list)
-    stopped: list[Stopped] = field(default_factory=list)
-    killed: list[Killed] = field(default_factory=list)
+    calls: list[Call] = field(default_factory=list)
+    runs: list[Run] = field(default_factory=list)
+    publications: list[PublicationRecord] = field(default_factory=list)
+    played_faults: list[PlayedFault] = field(default_factory=list)
+    planned_stops: list[PlannedStop] = field(default_factory=list)
+    entry_kills: list[EntryKill] = field(default_factory=list)
     memory: list[Memory] = field(default_factory=list)
     lines_by_request: dict[str, list[str]] = field(default_factory=dict)
     dropped_lines: int = 0
 
-    def runs_by_request(self) -> dict[str, list[Ran]]:
+    def runs_by_request(self) -> dict[str, list[Run]]:
         """Return the runs of each request, ordered by start."""
-        by_request: dict[str, list[Ran]] = {}
-        for run in sorted(self.ran, key=lambda run: run.at_ms):
+        by_request: dict[str, list[Run]] = {}
+        for run in sorted(self.runs, key=lambda run: run.at_ms):
             by_request.setdefault(run.request, []).append(run)
         return by_request
 
-    def is_calm(self, from_ms: float, until_ms: float) -> bool:
+    def is_undisturbed(self, from_ms: float, until_ms: float) -> bool:
         """Return whether no disturbing fault was in force in a time span."""
         return not any(
             fault.at_ms <= until_ms and fault.until_ms >= from_ms
-            for fault in self.struck
+            for fault in self.played_faults
         )
--- a/soak/runner_process.py
+++ b/soak/runner_process.py
@@ -21,7 +21,7 @@
 ENDED = 'ended'
 
 
-class TellingRunner(RunnerStandIn):
+class ReportingRunner(RunnerStandIn):
     """A runner that reports its runs and answers with the request's name."""
 
     def plain_body(self, seen: Seen) -> bytes:
@@ -59,7 +59,7 @@
     instance: str,
     work_ms: float = RunnerScript.work_ms,
 ) -> None:
-    runner = TellingRunner(Clock.from_system(), instance, address)
+    runner = ReportingRunner(Clock.from_system(), instance, address)
     runner.script.work_ms = work_ms
     await runner.listen(address)
     async for order in orders_of(RunnerOrder):
--- a/soak/session.py
+++ b/soak/session.py
@@ -8,9 +8,9 @@
 from bergamotthread.clock import Clock
 from soak.callers import Caller, Choices
 from soak.deployment import KEYS, LASTING_KEY, SoakDeployment
-from soak.faults import strike
+from soak.faults import play_fault
 from soak.plan import PLANNED, Fault, Plan
-from soak.records import Memory, Records, Struck
+from soak.records import Memory, PlayedFault, Records
 
 CALLERS_PER_ENTRY = 10
 _SAMPLE_S = 1.0
@@ -51,7 +51,7 @@
             await _cancel(self._tasks)
             await self._deployment.end()
         for caller in callers:
-            self.records.asked += caller.asked
+            self.records.calls += caller.calls
         self._deployment.close_records()
         self.records.memory += [
             Memory(name, tuple(points))
@@ -84,7 +84,9 @@
             for entry in self._deployment.entries:
                 memory_mb = entry.program.memory_mb()
                 if memory_mb is not None:
-                    process_name = f'{entry.program.name}-{entry.program.life}'
+                    process_name = (
+                        f'{entry.program.name}-{entry.program.incarnation}'
+                    )
                     self._points_by_process.setdefault(process_name, []).append(
                         (now_ms, memory_mb)
                     )
@@ -106,11 +108,11 @@
     async def _play(self, fault: Fault) -> None:
         at_ms = self._clock.now_ms()
         self.timeline.append(str(fault))
-        await strike(self._deployment, fault)
+        await play_fault(self._deployment, fault)
         if fault.kind not in PLANNED:
             until_ms = self._clock.now_ms()
-            self.records.struck.append(
-                Struck(fault.kind, str(fault.target), at_ms, until_ms),
+            self.records.played_faults.append(
+                PlayedFault(fault.kind, str(fault.target), at_ms, until_ms),
             )
 
 
--- a/soak/system_checks.py
+++ b/soak/system_checks.py
@@ -7,7 +7,7 @@
 
 from benchmarks.capacity_rows import Fit
 from soak.findings import BUSY_MS, SETTLE_MS, Finding
-from soak.records import Asked, Ending, Memory, Records, Stopped
+from soak.records import Call, Ending, Memory, PlannedStop, Records
 from standins.platform_settings import (
     GRACE_S,
     REPEAT_RATIO,
@@ -35,11 +35,11 @@
     """Find runs with a key revoked longer ago than `REVOKE_MS` allows."""
     revoked_ms = {
         publication.revoked: publication.at_ms
-        for publication in records.published
+        for publication in records.publications
         if publication.revoked
     }
     runs = records.runs_by_request()
-    for call in records.asked:
+    for call in records.calls:
         since_ms = revoked_ms.get(call.key)
         if since_ms is None or call.request not in runs:
             continue
@@ -54,13 +54,13 @@
     known_ms: dict[tuple[str, int, str], float] = {}
     added = {
         publication.path
-        for publication in records.published
+        for publication in records.publications
         if publication.path
     }
-    for call in sorted(records.asked, key=lambda call: call.ended_ms):
+    for call in sorted(records.calls, key=lambda call: call.ended_ms):
         if call.path not in added:
             continue
-        process_path = (call.entry, call.life, call.path)
+        process_path = (call.entry, call.incarnation, call.path)
         if call.status in _SHOWS_ROUTE:
             known_ms.setdefault(process_path, call.ended_ms)
         since_ms = known_ms.get(process_path, call.sent_ms)
@@ -74,13 +74,13 @@
     """Find routes that an undisturbed entry learns too late."""
     added_ms = {
         publication.path: publication.at_ms
-        for publication in records.published
+        for publication in records.publications
         if publication.path
     }
-    for call in records.asked:
+    for call in records.calls:
         late_ms = call.sent_ms - added_ms.get(call.path, call.sent_ms)
         is_late = late_ms > APPLY_MS + BUSY_MS and call.status == _UNKNOWN
-        if is_late and records.is_calm(
+        if is_late and records.is_undisturbed(
             call.sent_ms - SETTLE_MS,
             call.ended_ms,
         ):
@@ -91,8 +91,8 @@
 def check_drain(records: Records) -> Iterable[Finding]:
     """Find new work at stopping entries, and entries that end too late."""
     runs = records.runs_by_request()
-    for stop in records.stopped:
-        for call in _asked_of(stop, records):
+    for stop in records.planned_stops:
+        for call in _calls_to(stop, records):
             late_ms = call.sent_ms - stop.at_ms
             if late_ms > NEW_WORK_MS + BUSY_MS and call.request in runs:
                 detail = f'sent {late_ms:.0f} ms after the stop'
@@ -103,18 +103,18 @@
             )
 
 
-def _asked_of(stop: Stopped, records: Records) -> Iterable[Asked]:
+def _calls_to(stop: PlannedStop, records: Records) -> Iterable[Call]:
     """Return the requests sent to the stopped process."""
     return (
         call
-        for call in records.asked
-        if (call.entry, call.life) == (stop.entry, stop.life)
+        for call in records.calls
+        if (call.entry, call.incarnation) == (stop.entry, stop.incarnation)
     )
 
 
-def _outlives(stop: Stopped, records: Records) -> bool:
+def _outlives(stop: PlannedStop, records: Records) -> bool:
     limit_ms = stop.at_ms + GRACE_MS + BUSY_MS
-    if not records.is_calm(stop.at_ms - SETTLE_MS, limit_ms):
+    if not records.is_undisturbed(stop.at_ms - SETTLE_MS, limit_ms):
         return False
     return stop.ended_ms is None or stop.ended_ms > limit_ms
 
@@ -122,14 +122,14 @@
 def check_planned_stop(records: Records) -> Iterable[Finding]:
     """Find requests whose connection a planned stop closed early."""
     runs = records.runs_by_request()
-    for stop in records.stopped:
-        for call in _asked_of(stop, records):
+    for stop in records.planned_stops:
+        for call in _calls_to(stop, records):
             late_ms = call.ended_ms - stop.at_ms
             is_cut = call.ending is Ending.CUT and call.request in runs
             if (
                 is_cut
                 and late_ms > 0
-                and records.is_calm(
+                and records.is_undisturbed(
                     call.sent_ms - SETTLE_MS,
                     call.ended_ms,
                 )
--- a/standins/platform_runner.py
+++ b/standins/platform_runner.py
@@ -209,15 +209,15 @@
         ]
 
 
-Told = dict[str, object]
+JsonObject = dict[str, object]
 
 
 def manifest(
     version: int = 1,
     keys: tuple[str, ...] = (KEY,),
-    routes: tuple[Told, ...] = (),
+    routes: tuple[JsonObject, ...] = (),
     **more: object,
-) -> Told:
+) -> JsonObject:
     """Return a manifest with a route of each kind and with `routes`."""
     default_routes = [
         route_of('/stream/', 'streaming', MODEL, stream_resume=True),
@@ -236,7 +236,9 @@
     }
 
 
-def route_of(prefix: str, kind: str, service: str, **more: object) -> Told:
+def route_of(
+    prefix: str, kind: str, service: str, **more: object
+) -> JsonObject:
     """Return a route in the form of a manifest."""
     return {
         'name': prefix,
@@ -251,7 +253,9 @@
     }
 
 
-def runner_row(address: str, service: str, zone: str, **more: object) -> Told:
+def runner_row(
+    address: str, service: str, zone: str, **more: object
+) -> JsonObject:
     """Return the row of a runner."""
     return {
         'service': service,
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -21,9 +21,9 @@
 from bergamotthread.testing.loopback import free_address
 from standins.platform_server import StandInServer
 
-Asked = dict[str, str]
-Told = dict[str, object]
-Sent = dict[str, list[dict[str, Any]]]
+QueryFields = dict[str, str]
+JsonObject = dict[str, object]
+TransactionBody = dict[str, list[dict[str, Any]]]
 
 # Most rows and names in one answer.
 ROWS_MAX = 500
@@ -44,9 +44,9 @@
     payload: bytes | None
     ver: int
 
-    def told(self) -> Told:
+    def to_json_object(self) -> JsonObject:
         """Return the row in the form of the protocol."""
-        fields: Told = {
+        fields: JsonObject = {
             'table': self.table,
             'part': '',
             'key': self.key,
@@ -132,9 +132,9 @@
     async def _answer_rows(
         self,
         path: str,
-        query_fields: Asked,
+        query_fields: QueryFields,
         body: bytes,
-    ) -> tuple[int, Told]:
+    ) -> tuple[int, JsonObject]:
         if path == '/api/rows-get':
             return _OK, self._get(query_fields)
         if path == '/api/rows-feed':
@@ -142,13 +142,13 @@
             return _OK if changes else _GONE, changes or {}
         return self._transact(json.loads(body))
 
-    def _transact(self, body: Sent) -> tuple[int, Told]:
+    def _transact(self, body: TransactionBody) -> tuple[int, JsonObject]:
         """Write and remove rows if all expected versions match."""
         for expected in body['expected_rev']:
             stored = self._row_by_key.get((expected['table'], expected['key']))
             ver = stored.ver if stored else 0
             if expected['ver'] != ver:
-                rows = [stored.told()] if stored else []
+                rows = [stored.to_json_object()] if stored else []
                 return _NOT_AS_EXPECTED, {'rows': rows, 'ver': self.ver}
         for row in body['puts']:
             self.put(row['table'], row['key'], base64.b64decode(row['value']))
@@ -159,7 +159,7 @@
     def _answer_object(
         self,
         path: str,
-        query_fields: Asked,
+        query_fields: QueryFields,
         body: bytes,
     ) -> tuple[int, bytes]:
         operation, _, quoted = path.removeprefix('/api/blob-').partition('/')
@@ -178,7 +178,7 @@
                 self._object_by_name[name] = body
                 return _OK, b''
 
-    def _names(self, query_fields: Asked) -> Told:
+    def _names(self, query_fields: QueryFields) -> JsonObject:
         names = sorted(
             name
             for name in self._object_by_name
@@ -190,7 +190,7 @@
             'has_more': len(names) > NAMES_MAX,
         }
 
-    def _get(self, query_fields: Asked) -> Told:
+    def _get(self, query_fields: QueryFields) -> JsonObject:
         start = query_fields.get('from', '')
         end = query_fields.get('target', _AFTER_ALL)
         rows = sorted(
@@ -203,13 +203,13 @@
         )
         limit = int(query_fields.get('limit', ROWS_MAX))
         return {
-            'rows': [row.told() for row in rows[:limit]],
+            'rows': [row.to_json_object() for row in rows[:limit]],
             'has_more': len(rows) > limit,
             'ver': self.ver,
             'now_ms': 1,
         }
 
-    async def _feed(self, query_fields: Asked) -> Told | None:
+    async def _feed(self, query_fields: QueryFields) -> JsonObject | None:
         after = int(query_fields['after'])
         table = query_fields['table']
         end_ms = self.clock.now_ms() + int(query_fields['wait_ms'])
@@ -224,7 +224,7 @@
             remaining_ms = end_ms - self.clock.now_ms()
             if rows or remaining_ms <= 0:
                 return {
-                    'rows': [row.told() for row in rows],
+                    'rows': [row.to_json_object() for row in rows],
                     'ver': self.ver,
                 }
             with contextlib.suppress(TimeoutError):
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -11,16 +11,16 @@
 
 from soak.checks import findings_of
 from soak.records import (
-    Asked,
+    Call,
     Ending,
-    Killed,
+    EntryKill,
     Kind,
     Memory,
-    Published,
-    Ran,
+    PlannedStop,
+    PlayedFault,
+    PublicationRecord,
     Records,
-    Stopped,
-    Struck,
+    Run,
 )
 from standins.platform_runner import event_of
 
@@ -29,7 +29,7 @@
     return b''.join(event_of(request.encode(), number) for number in numbers)
 
 
-def _call(request: str, kind: Kind = Kind.ONCE, **more) -> Asked:
+def _call(request: str, kind: Kind = Kind.ONCE, **more) -> Call:
     fields = {
         'path': str(kind),
         'key': 'key-0',
@@ -43,13 +43,13 @@
         'body': _events(request) if kind.is_stream else request.encode(),
         **more,
     }
-    return Asked(request, kind, **fields)
+    return Call(request, kind, **fields)
 
 
 def _valid_records() -> Records:
     """Return records of a soak without violations."""
     records = Records()
-    records.asked = [
+    records.calls = [
         _call('a'),
         _call('b', Kind.STREAM),
         _call(
@@ -64,19 +64,19 @@
         _call('e', Kind.STREAM, ending=Ending.LEFT, body=_events('e', [1, 2])),
         _call('f', key='key-9', status=401, sealed=False, body=b'{}'),
     ]
-    records.ran = [
-        Ran('a', 'r0', 20_100, 20_200),
-        Ran('b', 'r0', 20_100, 20_900),
-        Ran('b', 'r1', 20_900, 21_000),
-        Ran('c', 'r0', 30_100, 30_200),
-        Ran('e', 'r0', 20_100, 21_300),
+    records.runs = [
+        Run('a', 'r0', 20_100, 20_200),
+        Run('b', 'r0', 20_100, 20_900),
+        Run('b', 'r1', 20_900, 21_000),
+        Run('c', 'r0', 30_100, 30_200),
+        Run('e', 'r0', 20_100, 21_300),
     ]
-    records.published = [
-        Published(1, 1000),
-        Published(2, 5000, path='/added/'),
-        Published(3, 8000, revoked='key-9'),
+    records.publications = [
+        PublicationRecord(1, 1000),
+        PublicationRecord(2, 5000, path='/added/'),
+        PublicationRecord(3, 8000, revoked='key-9'),
     ]
-    records.stopped = [Stopped('entry1', 1, 40_000, 45_000)]
+    records.planned_stops = [PlannedStop('entry1', 1, 40_000, 45_000)]
     records.memory = [
         Memory(
             'entry0-1', tuple((second * 1000.0, 20.0) for second in range(600))
@@ -91,9 +91,9 @@
 
 
 def _replace_call(records: Records, name: str, **more) -> None:
-    records.asked = [
+    records.calls = [
         replace(call, **more) if call.request == name else call
-        for call in records.asked
+        for call in records.calls
     ]
 
 
@@ -140,25 +140,25 @@
 ):
     records = _valid_records()
     records.lines_by_request = {}
-    records.killed = [Killed('entry0', 1, 21_000 + left_ms)]
+    records.entry_kills = [EntryKill('entry0', 1, 21_000 + left_ms)]
     assert _rules(records) == rules
 
 
 def test_second_run_of_a_request_that_runs_once_is_found():
     records = _valid_records()
-    records.ran.append(Ran('a', 'r2', 22_000, 22_100))
+    records.runs.append(Run('a', 'r2', 22_000, 22_100))
     assert _rules(records) == {'twice'}
 
 
 def test_run_after_a_refusal_that_said_not_run_is_found():
     records = _valid_records()
-    records.ran.append(Ran('d', 'r2', 50_000, 50_100))
+    records.runs.append(Run('d', 'r2', 50_000, 50_100))
     assert _rules(records) == {'refused'}
 
 
 def test_route_that_an_entry_forgets_is_found_also_during_faults():
     records = _valid_records()
-    records.struck = [Struck('busy-store', '0', 0, 99_000)]
+    records.played_faults = [PlayedFault('busy-store', '0', 0, 99_000)]
     late_call = _call(
         'g',
         Kind.LOOKUP,
@@ -169,39 +169,39 @@
         sent_ms=40_000.0,
         ended_ms=40_100.0,
     )
-    records.asked.append(late_call)
+    records.calls.append(late_call)
     assert _rules(records) == {'reverts'}
-    records.asked[-1] = replace(late_call, life=2)
+    records.calls[-1] = replace(late_call, life=2)
     assert _rules(records) == set()
 
 
 def test_late_version_during_a_fault_is_allowed():
     records = _valid_records()
     _replace_call(records, 'c', status=404, sealed=False)
-    records.struck = [Struck('pause-store', '0', 26_000, 27_000)]
+    records.played_faults = [PlayedFault('pause-store', '0', 26_000, 27_000)]
     assert _rules(records) == set()
 
 
 @pytest.mark.parametrize('ended_ms', [None, 49_500])
 def test_entry_that_runs_after_its_grace_time_is_found(ended_ms):
     records = _valid_records()
-    records.stopped = [Stopped('entry1', 1, 40_000, ended_ms)]
+    records.planned_stops = [PlannedStop('entry1', 1, 40_000, ended_ms)]
     assert _rules(records) == {'drain'}
 
 
 def test_request_cut_by_a_planned_stop_is_found():
     records = _valid_records()
-    records.stopped = [Stopped('entry0', 1, 20_500, 24_000)]
+    records.planned_stops = [PlannedStop('entry0', 1, 20_500, 24_000)]
     _replace_call(records, 'a', ending=Ending.CUT, status=0)
     assert _rules(records) == {'planned stop'}
-    records.struck = [Struck('kill-runner', '0', 18_000, 19_000)]
+    records.played_faults = [PlayedFault('kill-runner', '0', 18_000, 19_000)]
     assert _rules(records) == set()
 
 
 def test_retries_beyond_the_budget_are_found():
     records = _valid_records()
     for number in range(160):
-        records.ran.append(Ran('b', 'r1', 21_000 + number, 21_100 + number))
+        records.runs.append(Run('b', 'r1', 21_000 + number, 21_100 + number))
     assert _rules(records) == {'repeats'}
 
 
@@ -209,8 +209,8 @@
     records = _valid_records()
     for name in ('x', 'y', 'z'):
         abandoned = _call(name, Kind.STREAM, ending=Ending.LEFT, body=b'')
-        records.asked.append(abandoned)
-        records.ran.append(Ran(name, 'r0', 20_100, 23_000))
+        records.calls.append(abandoned)
+        records.runs.append(Run(name, 'r0', 20_100, 23_000))
     assert _rules(records) == {'gone'}
 
 
--- a/tests/test_soak_run.py
+++ b/tests/test_soak_run.py
@@ -43,11 +43,11 @@
     assert findings_of(records, _CHECKS) == []
     successful_calls = [
         call
-        for call in records.asked
+        for call in records.calls
         if call.ending is Ending.WHOLE and call.status == 200
     ]
     assert {call.kind for call in successful_calls} == set(Kind)
-    assert len(records.published) == 3
+    assert len(records.publications) == 3
     assert not [
         process
         for process in psutil.Process().children(recursive=True)
