--- a/soak/callers.py
+++ b/soak/callers.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Address of an entry, and the number of starts of its process."""
+    """Address of an entry, and the incarnation of its process."""
 
     name: str
     address: str
--- a/soak/programs.py
+++ b/soak/programs.py
@@ -26,7 +26,7 @@
     ----------
     folder
         Working directory; that of this process if ``None``.
-    life
+    incarnation
         Number of times that the process was started.
     """
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -48,7 +48,7 @@
     path
         Path of the request; differs from the kind's prefix if the request is
         for a route that a published version added.
-    life
+    incarnation
         Number of starts of the entry's process when the request was sent.
     sealed
         Whether the answer carries a back end's signature.
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -34,7 +34,7 @@
         'path': str(kind),
         'key': 'key-0',
         'entry': 'entry0',
-        'life': 1,
+        'incarnation': 1,
         'sent_ms': 20_000.0,
         'ended_ms': 21_000.0,
         'ending': Ending.WHOLE,
@@ -171,7 +171,7 @@
     )
     records.calls.append(late_call)
     assert _rules(records) == {'reverts'}
-    records.calls[-1] = replace(late_call, life=2)
+    records.calls[-1] = replace(late_call, incarnation=2)
     assert _rules(records) == set()
 
 
