--- a/bergamotthread/process/explanations/__init__.py
+++ b/bergamotthread/process/explanations/__init__.py
@@ -1,4 +1,4 @@
-"""Why something was refused or changed.
+"""Explanations of refusals and changes.
 
-Told from recorded refusals, traces of decisions and the audit trail.
+They come from recorded refusals, decision traces and the audit trail.
 """
--- a/bergamotthread/process/explanations/audit.py
+++ b/bergamotthread/process/explanations/audit.py
@@ -1,8 +1,9 @@
-"""Audit trail of changes, in objects that no two writers can share.
+"""Audit trail of changes, stored in objects that belong to one writer each.
 
-Each writer has an id of its own and numbers its records. A record's digest
-covers the record before it, so that an altered, removed or reordered record
-shows. Objects are named by hour, writer and the number of their first record.
+Each writer has a unique id and numbers its records. A record's digest covers
+the digest of the previous record, so that altered, removed and reordered
+records are detected. Objects are named by hour, writer and the sequence number
+of their first record.
 """
 
 from __future__ import annotations
@@ -39,20 +40,21 @@
     forbid_unknown_fields=True,
     omit_defaults=True,
 ):
-    """One change: what, of which object, by whom and when.
+    """One change: its kind, the changed object, the author and the time.
 
     Parameters
     ----------
     sequence
-        Number of the record within its writer's, from 1.
+        Number of the record among those of its writer, from 1.
     kind
-        What was done, such as `publish`, `drain` or `quarantine`.
+        Kind of change, such as `publish`, `drain` or `quarantine`.
     at_ms
-        Milliseconds since the Unix epoch by the writer's calendar clock.
+        Milliseconds since the Unix epoch on the writer's calendar clock.
     version_before, version_after
-        Configuration versions around the change; 0 where there is none.
+        Configuration versions before and after the change; 0 if there is none.
     digest
-        SHA-256 in hex of the digest before and of this record without it.
+        SHA-256 in hex of the previous record's digest followed by this record
+        without its digest.
     """
 
     writer: str
@@ -67,9 +69,9 @@
     digest: str = ''
 
     def digest_after(self, previous_digest: str) -> str:
-        """Return the digest that this record has after `previous_digest`."""
-        bare = msgspec.structs.replace(self, digest='')
-        encoded = previous_digest.encode() + msgspec.json.encode(bare)
+        """Return the digest of this record, chained to `previous_digest`."""
+        without_digest = msgspec.structs.replace(self, digest='')
+        encoded = previous_digest.encode() + msgspec.json.encode(without_digest)
         return hashlib.sha256(encoded).hexdigest()
 
 
@@ -81,11 +83,12 @@
 
 
 class AuditTrail:
-    """Appends records of one writer; the store may be away meanwhile.
+    """Appends records of one writer and buffers them during store outages.
 
-    Up to `MAX_BUFFERED_RECORDS` wait for the store. When there is no room the
-    newest record is dropped and counted: what came first is kept, since it is
-    closest to the cause. The count is recorded once the store is back.
+    At most `MAX_BUFFERED_RECORDS` are buffered. While the buffer is full, new
+    records are dropped and counted: the earliest records are kept, since they
+    are closest to the cause. The count is recorded once the store is available
+    again.
     """
 
     def __init__(
@@ -108,12 +111,12 @@
 
     @property
     def writer(self) -> str:
-        """Return the id of this writer, which no other has."""
+        """Return the unique id of this writer."""
         return self._writer
 
     @property
     def buffered(self) -> int:
-        """Return how many records wait for the store."""
+        """Return the number of records that wait for the store."""
         return len(self._waiting)
 
     async def append(
@@ -126,7 +129,7 @@
         version_before: int = 0,
         version_after: int = 0,
     ) -> bool:
-        """Take in a record as `record` does."""
+        """Append a record, see `record`."""
         return self.record(
             kind,
             subject,
@@ -146,14 +149,24 @@
         version_before: int = 0,
         version_after: int = 0,
     ) -> bool:
-        """Take in a record; False where it was dropped for lack of room.
+        """Append a record to the buffer.
 
-        Nothing is awaited: `run` or `flush` writes what was taken in.
+        Nothing is awaited: `run` or `flush` writes the buffered records.
+
+        Returns
+        -------
+        bool
+            False if the buffer was full and the record was dropped.
         """
         if len(self._waiting) >= MAX_BUFFERED_RECORDS:
             self.lost += 1
             self._unreported += 1
-            logging.error('audit record lost: %s %s by %s', kind, subject, who)
+            logging.error(
+                'audit buffer full, dropped record: %s %s by %s',
+                kind,
+                subject,
+                who,
+            )
             return False
         self._report_lost()
         record = AuditRecord(
@@ -171,12 +184,12 @@
         return True
 
     async def flush(self) -> None:
-        """Write all records that wait.
+        """Write all buffered records.
 
         Raises
         ------
         StoreUnavailableError
-            If the store gave no answer; the records are kept.
+            If the store did not answer; the records stay in the buffer.
         """
         async with self._lock:
             self._report_lost()
@@ -184,14 +197,14 @@
                 await self._send_batch()
 
     async def run(self) -> None:
-        """Flush at an interval until cancelled."""
+        """Flush every `FLUSH_INTERVAL_MS` until cancelled."""
         while True:
             try:
                 await self.flush()
             except StoreUnavailableError as error:
                 logging.log_every_n_seconds(
                     logging.WARNING,
-                    'audit trail waits, %d records, %d lost: %s',
+                    'audit store unavailable, %d records buffered, %d lost: %s',
                     LOG_INTERVAL_S,
                     len(self._waiting),
                     self.lost,
@@ -200,7 +213,8 @@
             await self._clock.sleep_ms(FLUSH_INTERVAL_MS)
 
     async def _send_batch(self) -> None:
-        # The same body is sent until the store has it: an answer may be lost.
+        # The same body is sent until the store confirms it, since the answer to
+        # a successful write may be lost.
         batch = self._sending or self._make_batch()
         self._sending = batch
         try:
@@ -251,8 +265,11 @@
         return _Batch(name, msgspec.json.encode(records), count)
 
     def _start_anew(self) -> None:
-        """Chain what waits under a new id, as another body has the name."""
-        logging.error('audit writer %s exists already', self._writer)
+        """Chain the buffered records under a new id, as the name is taken."""
+        logging.error(
+            'audit object name of writer %s is taken; using a new writer id',
+            self._writer,
+        )
         waiting = tuple(self._waiting)
         self._waiting.clear()
         self._sending = None
@@ -268,6 +285,6 @@
 
 
 def hour_of(at_ms: int) -> str:
-    """Return the hour in UTC by which objects are named."""
+    """Return the hour in UTC as used in object names."""
     moment = datetime.fromtimestamp(at_ms / _MS_PER_S, tz=UTC)
     return moment.strftime(_HOUR_FORMAT)
--- a/bergamotthread/process/explanations/audit_reader.py
+++ b/bergamotthread/process/explanations/audit_reader.py
@@ -21,19 +21,27 @@
 
 
 class AuditChainError(BergamotError):
-    """Records of one writer are not what it wrote."""
+    """The records of one writer are not those that it wrote."""
 
 
 @dataclass(frozen=True)
 class AuditFilter:
-    """Which records are asked for; an empty field selects all."""
+    """Selects records; an empty field matches every record.
+
+    Parameters
+    ----------
+    kind, who
+        Value of the field.
+    subject
+        Prefix of the field.
+    """
 
     kind: str = ''
     subject: str = ''
     who: str = ''
 
     def selects(self, record: AuditRecord) -> bool:
-        """Return whether a record is asked for."""
+        """Return whether a record matches all fields."""
         return (
             self.kind in {'', record.kind}
             and record.subject.startswith(self.subject)
@@ -45,7 +53,7 @@
     object_store: ObjectStore,
     hours: Iterable[str],
 ) -> tuple[AuditRecord, ...]:
-    """Return the records of some hours in the order of their times.
+    """Return the records of the given hours, ordered by time.
 
     Parameters
     ----------
@@ -64,7 +72,7 @@
         if len(names) == MAX_OBJECTS_PER_HOUR:
             raise BergamotError(
                 f'{hour} holds {MAX_OBJECTS_PER_HOUR} objects or more; '
-                'expected a shorter time',
+                'expected fewer, choose a shorter time range',
                 step=Step.RECORD,
             )
         for name in names:
@@ -73,42 +81,42 @@
 
 
 def verify_chains(records: Iterable[AuditRecord]) -> tuple[str, ...]:
-    """Check the chain of every writer, from its first record given.
+    """Check the chain of every writer from its first given record on.
 
     Returns
     -------
     tuple of str
-        The writers whose first record is not number 1, so that what came
-        before it was not checked.
+        The writers whose first given record is not number 1, so that earlier
+        records were not checked.
 
     Raises
     ------
     ExceptionGroup
-        With one `AuditChainError` for each writer whose records are not a
-        chain.
+        With one `AuditChainError` for each writer whose records do not form
+        a chain.
     """
     by_writer: dict[str, list[AuditRecord]] = {}
     for record in records:
         by_writer.setdefault(record.writer, []).append(record)
     errors = [
-        fault
+        error
         for writer, written in sorted(by_writer.items())
-        for fault in _find_break(writer, written)
+        for error in _find_break(writer, written)
     ]
     if errors:
         raise ExceptionGroup('the audit trail was altered', errors)
     return tuple(
         writer
         for writer, written in sorted(by_writer.items())
-        if min(one.sequence for one in written) != 1
+        if min(chained.sequence for chained in written) != 1
     )
 
 
 def hours_between(first_ms: int, last_ms: int) -> tuple[str, ...]:
-    """Return the hours in UTC that hold two moments and all between."""
+    """Return all hours in UTC from the first to the last time, inclusive."""
     ms_per_hour = 3_600_000
-    numbers = range(first_ms // ms_per_hour, last_ms // ms_per_hour + 1)
-    return tuple(hour_of(number * ms_per_hour) for number in numbers)
+    indices = range(first_ms // ms_per_hour, last_ms // ms_per_hour + 1)
+    return tuple(hour_of(index * ms_per_hour) for index in indices)
 
 
 def _find_break(
@@ -135,11 +143,11 @@
     if record.sequence > expected:
         return 'is missing'
     if record.sequence < expected:
-        return 'stands twice'
+        return 'occurs twice'
     if previous_digest is None:
         return ''
-    is_whole = record.digest == record.digest_after(previous_digest)
-    return '' if is_whole else 'was altered'
+    is_unaltered = record.digest == record.digest_after(previous_digest)
+    return '' if is_unaltered else 'was altered'
 
 
 def _sequence_of(record: AuditRecord) -> int:
--- a/bergamotthread/process/explanations/audit_sinks.py
+++ b/bergamotthread/process/explanations/audit_sinks.py
@@ -1,4 +1,4 @@
-"""What parts of a process tell the audit trail."""
+"""Records quarantines and orders in the audit trail."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
 
 @dataclass(frozen=True)
 class QuarantineAudit(QuarantineAuditSink):
-    """Records quarantines.
+    """Records quarantines in the audit trail.
 
     Parameters
     ----------
+    trail
+        Audit trail to which they are appended.
     version
-        Returns the version of the configuration in force.
+        Returns the configuration version in force.
     """
 
     trail: AuditTrail
     version: Callable[[], int]
 
     def quarantine_recorded(self, row: QuarantineRow) -> None:
-        """Take in a quarantine that this process confirmed."""
+        """Record a quarantine that this process confirmed."""
         version = self.version()
         self.trail.record(
             'quarantine',
@@ -41,16 +43,16 @@
 
 @dataclass(frozen=True)
 class OrderAudit:
-    """Records orders to engines.
+    """Records orders to engines in the audit trail.
 
     Parameters
     ----------
     trail
-        Where they are recorded.
+        Audit trail to which they are appended.
     holder
-        Address of the process that sends them.
+        Address of the process that sends the orders.
     version
-        Returns the version in force.
+        Returns the configuration version in force.
     """
 
     trail: AuditTrail
@@ -58,7 +60,7 @@
     version: Callable[[], int]
 
     def order_sent(self, agent: str, order: Order) -> None:
-        """Take in an order that this process sends as holder of the lease."""
+        """Record an order that this process sends as holder of the lease."""
         version = self.version()
         self.trail.record(
             'order',
--- a/bergamotthread/process/explanations/decision_trace.py
+++ b/bergamotthread/process/explanations/decision_trace.py
@@ -1,7 +1,7 @@
 """Trace of an entry's decisions on generations, as JSON lines.
 
-A trace holds no text: tokens are counted, prompts are left out. Its first
-line names the version of the form.
+A trace contains no prompts and, instead of tokens, only their number. Its first
+line gives the version of the format.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 class ConfirmedRecord(_Record, frozen=True, tag='confirmed'):
-    """The agent dispatched the current attempt, or will do so later."""
+    """The agent dispatched the current attempt or queued it."""
 
     at_ms: float
     generation: str
@@ -67,7 +67,7 @@
 
 
 class FrameRecord(_Record, frozen=True, tag='frame'):
-    """A frame arrived; an empty `end_reason` means no end mark."""
+    """A frame arrived; `end_reason` is empty if it has no end mark."""
 
     at_ms: float
     generation: str
@@ -90,7 +90,7 @@
 
 
 class RevokedRecord(_Record, frozen=True, tag='revoked'):
-    """An agent said that it never dispatched an attempt and never will."""
+    """An agent reported that it has not and will not dispatch an attempt."""
 
     at_ms: float
     generation: str
@@ -99,7 +99,7 @@
 
 
 class RestoredRecord(_Record, frozen=True, tag='restored'):
-    """The output was replaced by the tokens that the caller holds."""
+    """The output was replaced by the tokens that the caller already has."""
 
     at_ms: float
     generation: str
@@ -107,7 +107,7 @@
 
 
 class EndRecord(_Record, frozen=True, tag='end'):
-    """The generation ended; `reason` is that of its refusal."""
+    """The generation ended; `reason` is empty unless it was refused."""
 
     at_ms: float
     generation: str
@@ -132,12 +132,12 @@
 
 
 class DecisionTrace:
-    """Writes the records of one entry.
+    """Writes the decision records of one entry.
 
     Parameters
     ----------
     write
-        Takes one line with its end; None where no trace is wanted.
+        Takes one line with its line break; None to write no trace.
     """
 
     def __init__(
@@ -177,7 +177,7 @@
         *,
         dispatched: bool = True,
     ) -> None:
-        """Record an agent's word on the current attempt."""
+        """Record that the agent dispatched or queued the current attempt."""
         generation = live.generation
         self._put(
             ConfirmedRecord(
@@ -189,7 +189,7 @@
         )
 
     def frame(self, frame: Frame, envelope: Envelope) -> None:
-        """Record a frame of a generation that is held here."""
+        """Record a frame of a generation that this entry holds."""
         end = frame.end
         self._put(
             FrameRecord(
@@ -208,17 +208,19 @@
     def outcome(self, live: LiveGeneration, outcome: Outcome) -> None:
         """Record how the current attempt ended."""
         name, cause = _outcome_texts(outcome)
-        identity = live.generation.spec.generation
-        self._put(OutcomeRecord(self._clock.now_ms(), identity, name, cause))
+        generation_id = live.generation.spec.generation
+        self._put(
+            OutcomeRecord(self._clock.now_ms(), generation_id, name, cause)
+        )
 
     def revoked(self, live: LiveGeneration, attempt: int, agent: str) -> None:
-        """Record that an agent never dispatches an attempt."""
-        identity = live.generation.spec.generation
+        """Record that an agent will never dispatch an attempt."""
+        generation_id = live.generation.spec.generation
         now_ms = self._clock.now_ms()
-        self._put(RevokedRecord(now_ms, identity, attempt, agent))
+        self._put(RevokedRecord(now_ms, generation_id, attempt, agent))
 
     def restored(self, live: LiveGeneration) -> None:
-        """Record that the caller's tokens took the output's place."""
+        """Record that the caller's tokens replaced the output."""
         generation = live.generation
         self._put(
             RestoredRecord(
@@ -252,7 +254,7 @@
     Raises
     ------
     DecodeError
-        If a line is no record, or the version is not known.
+        If a line is not a record or the version is unknown.
     """
     records = []
     for number, line in enumerate(body.splitlines(), 1):
@@ -265,7 +267,8 @@
     header = records[0] if records else None
     if header != HeaderRecord(TRACE_VERSION):
         raise DecodeError(
-            f'first line is {header}, expected version {TRACE_VERSION}',
+            f'first line is {header}, '
+            f'expected a header of version {TRACE_VERSION}',
             step=Step.DECODE,
         )
     return tuple(records)
--- a/bergamotthread/process/explanations/explanation_batch.py
+++ b/bergamotthread/process/explanations/explanation_batch.py
@@ -1,4 +1,4 @@
-"""Request ids and the batches of refusals that they name."""
+"""Request ids and the batches of refusals that they refer to."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 def new_writer_id() -> str:
-    """Return an id that no other process has, for one process start."""
+    """Return a unique writer id for one run of a process."""
     return secrets.token_hex(_WRITER_ID_BYTES)
 
 
 @dataclass(frozen=True)
 class RequestId:
-    """Id of a refused request: the writer, its batch and the place in it.
+    """Id of a refused request: writer, batch and index in the batch.
 
     Parameters
     ----------
     index
-        Place in the batch; None where the refusal could not be kept.
+        Index in the batch; None if the refusal could not be kept.
     """
 
     writer: str
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_text(cls, text: str) -> RequestId | None:
-        """Return the id that a text holds, or None where it is none."""
+        """Return the id that `text` represents, or None if it is not an id."""
         match = _ID_PATTERN.fullmatch(text)
         if match is None:
             return None
@@ -58,15 +58,15 @@
         return f'{OBJECT_PREFIX}/{self.writer}/{self.batch:012}'
 
     def __str__(self) -> str:
-        place = 'lost' if self.index is None else self.index
-        return f'req-{self.writer}-{self.batch}-{place}'
+        index = 'lost' if self.index is None else self.index
+        return f'req-{self.writer}-{self.batch}-{index}'
 
 
 class ExplanationBatch(msgspec.Struct, frozen=True):
     """Refusals that one process wrote together.
 
-    `lost_by_reason` counts the refusals that were not kept since the batch
-    before.
+    `lost_by_reason` counts the refusals that could not be kept since the
+    previous batch.
     """
 
     writer: str
@@ -77,12 +77,12 @@
 
 
 def decode_batch(encoded: bytes, name: str) -> ExplanationBatch:
-    """Return the batch that an object holds.
+    """Return the batch that an object contains.
 
     Raises
     ------
     DecodeError
-        If the object is no batch.
+        If the object is not a batch.
     """
     try:
         return msgspec.json.decode(encoded, type=ExplanationBatch)
--- a/bergamotthread/process/explanations/explanation_metrics.py
+++ b/bergamotthread/process/explanations/explanation_metrics.py
@@ -1,4 +1,4 @@
-"""Shows the counts of recorded and lost refusals."""
+"""Metrics of recorded and lost refusals."""
 
 from __future__ import annotations
 
--- a/bergamotthread/process/explanations/explanation_routes.py
+++ b/bergamotthread/process/explanations/explanation_routes.py
@@ -1,4 +1,4 @@
-"""`GET /v1/explanations/{id}`."""
+"""Route `GET /v1/explanations/{id}`, which explains refusals."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 ) -> tuple[Route, ...]:
     """Return the route that explains refusals.
 
-    A team reads its own refusals only; an operator reads all.
+    A team can read only its own refusals; an operator can read all.
 
     Parameters
     ----------
     read_version
-        Returns the version in force, or raises `RefusedError`.
+        Returns the version in force or raises `RefusedError`.
     """
     explain = _ExplanationHandler(explanations, read_version).explain
     return (Route('/v1/explanations/{request_id}', explain),)
 
 
 class _ExplanationHandler:
-    """Handler of the route."""
+    """Handles requests to the route."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._read_version = read_version
 
     async def explain(self, request: Request) -> Response:
-        """Answer with a refusal in JSON, or with problem JSON."""
+        """Respond with a refusal as JSON or with a problem document."""
         request_id = request.path_params['request_id']
         try:
             refusal = await self._find(request, request_id)
--- a/bergamotthread/process/explanations/explanations.py
+++ b/bergamotthread/process/explanations/explanations.py
@@ -1,9 +1,9 @@
-"""Keeps every refusal so that it can be explained later.
+"""Records refusals so that they can be explained later.
 
-Refusals are written in batches, at most one object in `MIN_INTERVAL_MS`. A
-request id names the writer and the batch, so that any process finds the
-refusal by one read. While the store is away, a bounded number is kept, the
-oldest first, and the rest is counted as lost.
+Refusals are written in batches, at most one object per `MIN_INTERVAL_MS`. A
+request id contains the writer and the batch, so that any process finds the
+refusal with one read. While the store is unavailable, a limited number of
+refusals is kept, the oldest ones, and the others are counted as lost.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class _ClosedBatch:
-    """Batch that waits to be written; its bytes never change."""
+    """Batch that waits to be written; retries send the same bytes."""
 
     name: str
     encoded: bytes
@@ -60,7 +60,7 @@
 
 @dataclass
 class _OpenBatch:
-    """Batch that still takes refusals."""
+    """Batch to which refusals are still added."""
 
     number: int = 0
     next_index: int = 0
@@ -70,15 +70,15 @@
 
 
 class Explanations:
-    """Records refusals and finds them again.
+    """Records refusals and finds them by request id.
 
     Parameters
     ----------
     store
-        Object store; its errors are retried here.
+        Object store; failed writes are retried.
     writer_id
-        Unique to this process start, lower-case letters and digits; see
-        `new_writer_id`.
+        Unique id of this run of the process, in lower-case letters and digits;
+        see `new_writer_id`.
     """
 
     def __init__(
@@ -99,21 +99,21 @@
     @property
     def kept(self) -> int:
         """Return the number of refusals that wait to be written."""
-        waiting = sum(len(one.refusals_by_id) for one in self._waiting)
+        waiting = sum(len(batch.refusals_by_id) for batch in self._waiting)
         return waiting + len(self._open.refusals_by_id)
 
     def new_request_id(self) -> str:
-        """Return an id for a refusal that is recorded soon."""
+        """Return an id for a refusal that will be recorded soon."""
         index = self._open.next_index
         self._open.next_index += 1
         return str(RequestId(self._writer_id, self._open.number, index))
 
     def record(self, refusal: Refusal) -> Refusal:
-        """Keep a refusal and return it with the id that finds it.
+        """Record a refusal and return it with the id under which it is found.
 
-        The id is replaced by a new one where it is empty or its batch was
-        closed meanwhile, and by one that ends in ``lost`` where the refusal
-        is not kept; so the caller is to be told the id that is returned.
+        The id is replaced by a new one if it is empty, already used or of a
+        closed batch, and by one that ends in ``lost`` if the refusal is not
+        kept. Callers must therefore be given the returned id.
         """
         if self._is_full(refusal):
             return self._lose(refusal)
@@ -129,7 +129,7 @@
         return refusal
 
     async def find(self, request_id: str, team: str) -> Refusal | None:
-        """Return a refusal of a team's own request, or None.
+        """Return a refusal that belongs to `team`, or None.
 
         Raises
         ------
@@ -144,17 +144,17 @@
         return refusal
 
     async def find_for_operator(self, request_id: str) -> Refusal | None:
-        """Return a refusal whoever it belongs to, or None."""
-        identity = RequestId.from_text(request_id)
-        if identity is None or identity.index is None:
+        """Return a refusal of any team, or None."""
+        parsed_id = RequestId.from_text(request_id)
+        if parsed_id is None or parsed_id.index is None:
             return None
         refusal = self._find_kept(request_id)
         if refusal is not None:
             return refusal
-        encoded = await self._store.get(identity.object_name)
+        encoded = await self._store.get(parsed_id.object_name)
         if encoded is None:
             return None
-        batch = decode_batch(encoded, identity.object_name)
+        batch = decode_batch(encoded, parsed_id.object_name)
         return batch.refusals_by_id.get(request_id)
 
     async def run(self) -> None:
@@ -168,12 +168,12 @@
             await self._clock.sleep_ms(MIN_INTERVAL_MS - LINGER_MS)
 
     async def flush(self) -> None:
-        """Write what waits, once, before the process ends.
+        """Write all waiting refusals before the process ends, without retries.
 
         Raises
         ------
         StoreUnavailableError
-            If the store did not answer; what was not written is still kept.
+            If the store did not answer; unwritten refusals are still kept.
         """
         self._close_batch()
         while self._waiting:
@@ -182,31 +182,33 @@
     def _is_full(self, refusal: Refusal) -> bool:
         if self.kept >= MAX_KEPT_REFUSALS:
             return True
-        held = self._open.size + sum(one.size for one in self._waiting)
-        return held + _size(refusal) > MAX_KEPT_BYTES
+        kept_bytes = self._open.size + sum(
+            batch.size for batch in self._waiting
+        )
+        return kept_bytes + _size(refusal) > MAX_KEPT_BYTES
 
     def _is_open(self, request_id: str) -> bool:
-        identity = RequestId.from_text(request_id)
-        if identity is None or identity.index is None:
+        parsed_id = RequestId.from_text(request_id)
+        if parsed_id is None or parsed_id.index is None:
             return False
         if request_id in self._open.refusals_by_id:
             return False
-        return (identity.writer, identity.batch) == (
+        return (parsed_id.writer, parsed_id.batch) == (
             self._writer_id,
             self._open.number,
         )
 
     def _lose(self, refusal: Refusal) -> Refusal:
         self.counters.lost += 1
-        lost = self._open.lost_by_reason
-        lost[refusal.reason] = lost.get(refusal.reason, 0) + 1
-        identity = RequestId(self._writer_id, self._open.number, None)
-        return msgspec.structs.replace(refusal, request_id=str(identity))
+        counts = self._open.lost_by_reason
+        counts[refusal.reason] = counts.get(refusal.reason, 0) + 1
+        lost_id = RequestId(self._writer_id, self._open.number, None)
+        return msgspec.structs.replace(refusal, request_id=str(lost_id))
 
     def _find_kept(self, request_id: str) -> Refusal | None:
         for refusals_by_id in (
             self._open.refusals_by_id,
-            *(one.refusals_by_id for one in self._waiting),
+            *(batch.refusals_by_id for batch in self._waiting),
         ):
             refusal = refusals_by_id.get(request_id)
             if refusal is not None:
@@ -224,10 +226,10 @@
             refusals_by_id=closing.refusals_by_id,
             lost_by_reason=closing.lost_by_reason,
         )
-        identity = RequestId(self._writer_id, closing.number, None)
+        batch_id = RequestId(self._writer_id, closing.number, None)
         self._waiting.append(
             _ClosedBatch(
-                name=identity.object_name,
+                name=batch_id.object_name,
                 encoded=msgspec.json.encode(batch),
                 refusals_by_id=closing.refusals_by_id,
                 size=closing.size,
@@ -258,27 +260,29 @@
         except StoreConflictError as error:
             self.counters.lost += len(batch.refusals_by_id)
             count = len(batch.refusals_by_id)
-            logging.error('%s refusals lost: %s', count, error)
+            logging.error(
+                '%s refusals lost, object name is taken: %s', count, error
+            )
         else:
             self.counters.batches += 1
             self.counters.written += len(batch.refusals_by_id)
         self._waiting.popleft()
 
     def _retry_ms(self, failures: int) -> float:
-        doubled_ms = RETRY_MS * 2 ** min(failures, MAX_DOUBLINGS)
-        limit_ms = float(min(RETRY_MAX_MS, doubled_ms))
-        return limit_ms * (0.5 + self._random.random() / 2)
+        backoff_ms = RETRY_MS * 2 ** min(failures, MAX_DOUBLINGS)
+        max_delay_ms = float(min(RETRY_MAX_MS, backoff_ms))
+        return max_delay_ms * (0.5 + self._random.random() / 2)
 
 
 def describe_missing(request_id: str) -> str:
-    """Return why an id may not be found, for a caller to read."""
-    identity = RequestId.from_text(request_id)
-    if identity is None:
+    """Return the reasons why an id may not be found, as text for a caller."""
+    parsed_id = RequestId.from_text(request_id)
+    if parsed_id is None:
         return (
             f'{request_id[:80]!r} is no request id, '
             'expected the one that came with a refusal, such as req-1f-0-1'
         )
-    if identity.index is None:
+    if parsed_id.index is None:
         return (
             'the refusal was true but is not kept: the store was away and '
             'the buffer of its process was full'
--- a/bergamotthread/process/explanations/refusal_recorder.py
+++ b/bergamotthread/process/explanations/refusal_recorder.py
@@ -1,4 +1,4 @@
-"""Gives each refusal the id that explains it, and records it."""
+"""Assigns request ids to refusals and records them."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
         self._metrics = metrics
 
     def stamp(self, refusal: Refusal) -> Refusal:
-        """Record a refusal and return it with the id that explains it."""
-        unnamed = msgspec.structs.replace(refusal, request_id='')
-        stamped = self._explanations.record(unnamed)
-        self._metrics.count_refusal(stamped.reason)
+        """Record a refusal and return it with its request id."""
+        without_id = msgspec.structs.replace(refusal, request_id='')
+        recorded = self._explanations.record(without_id)
+        self._metrics.count_refusal(recorded.reason)
         logging.info(
             'refused %s: %s',
-            stamped.reason,
-            stamped.detail,
+            recorded.reason,
+            recorded.detail,
             extra={
-                'request_id': stamped.request_id,
-                'step': str(stamped.step),
-                'peer': stamped.peer,
+                'request_id': recorded.request_id,
+                'step': str(recorded.step),
+                'peer': recorded.peer,
             },
         )
-        return stamped
+        return recorded
--- a/bergamotthread/process/explanations/trace_replay.py
+++ b/bergamotthread/process/explanations/trace_replay.py
@@ -1,8 +1,8 @@
 """Replays a trace through the life cycle of generations.
 
-The frames, outcomes and words of agents are those of the trace; what is
-accepted, when an answer is whole and what a refusal says of it is decided
-anew.
+Frames, outcomes and confirmations of agents are taken from the trace. Which
+frames are accepted, when an answer is complete and what a refusal states are
+decided again.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class ReplayOutcome(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a generation ended; `ran` is empty unless it was refused."""
+    """End of a generation; `ran` is empty unless it was refused."""
 
     generation: str
     state: str
@@ -50,13 +50,13 @@
 
 
 class Replay:
-    """Generations of a trace, decided anew."""
+    """Decides again on the generations of a trace."""
 
     def __init__(self) -> None:
         self._live_by_id: dict[str, LiveGeneration] = {}
 
     def apply(self, record: Record) -> None:
-        """Take in the next record."""
+        """Apply the next record."""
         match record:
             case HeaderRecord():
                 return
@@ -66,14 +66,14 @@
                 self._apply_to(self._live(record.generation), record)
 
     def outcomes(self) -> tuple[ReplayOutcome, ...]:
-        """Return how each generation ended, in the order of admission."""
+        """Return the end of each generation, in order of admission."""
         return tuple(map(_outcome_of, self._live_by_id.values()))
 
-    def _live(self, identity: str) -> LiveGeneration:
-        live = self._live_by_id.get(identity)
+    def _live(self, generation_id: str) -> LiveGeneration:
+        live = self._live_by_id.get(generation_id)
         if live is None:
             raise DecodeError(
-                f'{identity} was not admitted in this trace',
+                f'generation {generation_id} was not admitted in this trace',
                 step=Step.DECODE,
             )
         return live
@@ -126,8 +126,8 @@
     place = live.generation.begin_attempt(record.agent)
     if place.number != record.attempt:
         raise DecodeError(
-            f'attempt {record.attempt} of {record.generation}, '
-            f'expected {place.number}',
+            f'attempt {record.attempt} of generation {record.generation}, '
+            f'expected attempt {place.number}',
             step=Step.DECODE,
         )
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -98,7 +98,7 @@
     ('damage', 'message'),
     [
         (lambda records: records[:2] + records[3:], 'record 3 is missing'),
-        (lambda records: (*records, records[1]), 'record 3 stands twice'),
+        (lambda records: (*records, records[1]), 'record 3 occurs twice'),
         (
             lambda records: tuple(
                 msgspec.structs.replace(one, who='nobody')
