--- a/bergamotthread/process/store/__init__.py
+++ b/bergamotthread/process/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store of what must last: narrow interfaces, client, documents."""
+"""Durable storage: interfaces, client and document checks."""
--- a/bergamotthread/process/store/document.py
+++ b/bergamotthread/process/store/document.py
@@ -1,4 +1,4 @@
-"""Finds every fault of a JSON document against a structure."""
+"""Finds all errors of a JSON document that should encode a structure."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One fault of a document.
+    """One error of a document.
 
     Parameters
     ----------
     path
         JSON path such as ``$.place.address``.
     found
-        What stands there, as JSON.
+        Value at the path, as JSON.
     expected
-        What was expected there.
+        Description of what was expected instead.
     """
 
     path: str
@@ -35,7 +35,7 @@
 
 
 def show_json(found: object) -> str:
-    """Return a short JSON text of a value for use in a message."""
+    """Return a value as JSON, cut short for use in a message."""
     encoded = msgspec.json.encode(found).decode()
     if len(encoded) > MAX_SHOWN_CHARACTERS:
         return f'{encoded[:MAX_SHOWN_CHARACTERS]}...'
@@ -47,7 +47,7 @@
     kind: type[msgspec.Struct],
     path: str = '$',
 ) -> tuple[Problem, ...]:
-    """Return all faults of a document that should be a `kind`."""
+    """Return all errors of a document that should encode a `kind`."""
     if not isinstance(document, dict):
         return (Problem(path, show_json(document), 'an object'),)
     return (
@@ -69,9 +69,9 @@
 
 
 def _describe_names(name: str, names: list[str]) -> str:
-    nearest = difflib.get_close_matches(name[:MAX_SHOWN_CHARACTERS], names, 1)
-    if nearest:
-        return f'{nearest[0]!r}'
+    similar = difflib.get_close_matches(name[:MAX_SHOWN_CHARACTERS], names, 1)
+    if similar:
+        return f'{similar[0]!r}'
     return f'one of {", ".join(sorted(names))}'
 
 
@@ -102,9 +102,9 @@
         msgspec.convert(found, kind)
     except msgspec.ValidationError as error:
         expected, _, inner = str(error).partition(' - at `$')
-        where = f'{path}{inner.rstrip("`")}'
+        value_path = f'{path}{inner.rstrip("`")}'
         yield Problem(
-            where, show_json(found), expected.removeprefix('Expected ')
+            value_path, show_json(found), expected.removeprefix('Expected ')
         )
 
 
--- a/bergamotthread/process/store/platform.py
+++ b/bergamotthread/process/store/platform.py
@@ -1,4 +1,4 @@
-"""Narrow interfaces to the platform's table, object store and host list."""
+"""Interfaces to the platform's table, object store and host list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One row of the table; `revision` is above 0 and rises by each write."""
+    """Row of the table; `revision` is positive and grows with each write."""
 
     key: str
     body: bytes
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class HostEntry:
-    """One host as the platform's lagging list shows it."""
+    """Host in the platform's host list, which lags behind its real state."""
 
     address: str
     role: str
@@ -29,17 +29,17 @@
 class Table(abc.ABC):
     """Transactional table with compare-and-set on one row.
 
-    Every method raises `StoreUnavailableError` when no answer came in time;
-    a write may then have taken effect.
+    Every method raises `StoreUnavailableError` if no answer arrives in time; a
+    write may have taken effect nevertheless.
     """
 
     @abc.abstractmethod
     async def read(self, key: str) -> Row | None:
-        """Return the row, or None where there is none."""
+        """Return the row, or None if it does not exist."""
 
     @abc.abstractmethod
     async def write(self, key: str, body: bytes, *, expected: int) -> Row:
-        """Write a row whose revision is `expected` (0: no row yet).
+        """Write a row whose revision is `expected`; 0 creates the row.
 
         Raises
         ------
@@ -57,15 +57,15 @@
 
 
 class ObjectStore(abc.ABC):
-    """Immutable objects by name; the same errors as `Table`."""
+    """Immutable objects by name; raises the same errors as `Table`."""
 
     @abc.abstractmethod
     async def put(self, name: str, body: bytes) -> None:
-        """Store an object; the same name and body again is no error."""
+        """Store an object; storing the same body again is not an error."""
 
     @abc.abstractmethod
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if it does not exist."""
 
     @abc.abstractmethod
     async def names(self, prefix: str, *, limit: int) -> tuple[str, ...]:
@@ -73,7 +73,7 @@
 
 
 class HostList(abc.ABC):
-    """The platform's lagging list of live and leaving hosts."""
+    """The platform's list of live and leaving hosts, which lags behind."""
 
     @abc.abstractmethod
     async def hosts(self) -> tuple[HostEntry, ...]:
--- a/bergamotthread/process/store/store_client.py
+++ b/bergamotthread/process/store/store_client.py
@@ -1,9 +1,10 @@
-"""Client of the platform that no slow or silent store can stall.
+"""Client of the platform that a slow or silent store can not stall.
 
-Every access has a deadline, a share of the store's rate and a place among a
-bounded number of concurrent ones; a circuit breaker turns accesses away while
-the store does not answer. Reads are retried under a budget. A write is sent
-once, since only its writer can tell whether an unanswered one took effect.
+Every access has a timeout, counts towards the rate limit of the process and
+takes one of a limited number of concurrent slots. A circuit breaker rejects
+accesses while the store does not answer. Reads are retried within a retry
+budget. A write is sent once, since only its writer can find out whether an
+unanswered write took effect.
 """
 
 from __future__ import annotations
@@ -43,11 +44,11 @@
 
 
 class StoreNotAskedError(StoreUnavailableError):
-    """The access was turned away before it was sent; it has no effect."""
+    """The access was rejected before it was sent; it has no effect."""
 
 
 class StoreUse(enum.Enum):
-    """What accesses are for; audit records wait behind all else."""
+    """Purpose of an access; audit records have the lowest priority."""
 
     CALLS = 'calls'
     PUBLICATION = 'publication'
@@ -57,16 +58,16 @@
 
 @dataclass(frozen=True)
 class StoreLimits:
-    """Limits of one process towards the store.
+    """Limits on the accesses of one process to the store.
 
     Parameters
     ----------
     reads_per_s, writes_per_s
-        Rate shares of the process.
+        Rate limits of the process.
     timeout_ms
-        Limit on one access, waiting for its rate share included.
+        Timeout of one access, including the wait for the rate limit.
     concurrent
-        Accesses under way at once.
+        Maximum number of concurrent accesses.
     """
 
     reads_per_s: float = 2
@@ -76,7 +77,7 @@
 
     @classmethod
     def from_settings(cls, settings: PlatformSettings) -> StoreLimits:
-        """Take the limits from the settings of the platform."""
+        """Return the limits in the platform settings."""
         return cls(
             reads_per_s=settings.reads_per_s,
             writes_per_s=settings.writes_per_s,
@@ -90,7 +91,7 @@
 
 @dataclass
 class StoreGuard:
-    """Passes accesses to the store within the limits of the process."""
+    """Sends accesses to the store within the limits of the process."""
 
     limits: StoreLimits
     clock: Clock
@@ -113,14 +114,20 @@
         Raises
         ------
         StoreNotAskedError
-            If the write was not sent.
+            If the write was rejected before it was sent.
         StoreUnavailableError
             If it was sent and may have taken effect.
         """
         return await self._pass(self.writes, use, access)
 
     async def read(self, use: StoreUse, access: _Access[_Answer]) -> _Answer:
-        """Send a read and repeat it under the budget."""
+        """Send a read and retry it within the retry budget.
+
+        Raises
+        ------
+        StoreUnavailableError
+            If the store did not answer or the read was rejected.
+        """
         self.budget.earn()
         for attempt in range(1, _MAX_READS):
             try:
@@ -180,14 +187,14 @@
 
 @dataclass(frozen=True)
 class GuardedTable(Table):
-    """Table whose accesses pass a `StoreGuard`."""
+    """Table whose accesses are limited by a `StoreGuard`."""
 
     inner: Table
     guard: StoreGuard
     use: StoreUse
 
     async def read(self, key: str) -> Row | None:
-        """Return the row, or None where there is none."""
+        """Return the row, or None if it does not exist."""
         access = partial(self.inner.read, key)
         return await self.guard.read(self.use, access)
 
@@ -209,19 +216,19 @@
 
 @dataclass(frozen=True)
 class GuardedObjectStore(ObjectStore):
-    """Object store whose accesses pass a `StoreGuard`."""
+    """Object store whose accesses are limited by a `StoreGuard`."""
 
     inner: ObjectStore
     guard: StoreGuard
     use: StoreUse
 
     async def put(self, name: str, body: bytes) -> None:
-        """Store an object; the same name and body again is no error."""
+        """Store an object; storing the same body again is not an error."""
         access = partial(self.inner.put, name, body)
         await self.guard.write(self.use, access)
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if it does not exist."""
         access = partial(self.inner.get, name)
         return await self.guard.read(self.use, access)
 
@@ -233,7 +240,7 @@
 
 @dataclass(frozen=True)
 class GuardedHostList(HostList):
-    """Host list whose reads pass a `StoreGuard`."""
+    """Host list whose reads are limited by a `StoreGuard`."""
 
     inner: HostList
     guard: StoreGuard
@@ -245,7 +252,7 @@
 
 @dataclass(frozen=True)
 class StoreClient:
-    """The platform's table, object store and host list, within limits."""
+    """Access to the platform's store and host list within the limits."""
 
     inner_table: Table
     inner_objects: ObjectStore
@@ -254,11 +261,11 @@
     connections: UpstreamPool | None = None
 
     def table(self, use: StoreUse) -> GuardedTable:
-        """Return the table for one use."""
+        """Return the table for accesses of one purpose."""
         return GuardedTable(self.inner_table, self.guard, use)
 
     def object_store(self, use: StoreUse) -> GuardedObjectStore:
-        """Return the object store for one use."""
+        """Return the object store for accesses of one purpose."""
         return GuardedObjectStore(self.inner_objects, self.guard, use)
 
     def hosts(self) -> GuardedHostList:
--- a/bergamotthread/wire/__init__.py
+++ b/bergamotthread/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes."""
+"""Messages between processes and their encoding."""
--- a/bergamotthread/wire/codec.py
+++ b/bergamotthread/wire/codec.py
@@ -14,21 +14,22 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the bytes of an envelope."""
+    """Return the encoded envelope."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(encoded: bytes, *, peer: str = '') -> Envelope:
-    """Return the envelope that `encoded` holds.
+    """Return the decoded envelope.
 
     Raises
     ------
     DecodeError
-        If the bytes are too many or are not a valid envelope.
+        If there are more than `MAX_ENVELOPE_BYTES` or the envelope is invalid.
     """
     if len(encoded) > MAX_ENVELOPE_BYTES:
         raise DecodeError(
-            f'{len(encoded)} bytes, expected at most {MAX_ENVELOPE_BYTES}',
+            f'envelope of {len(encoded)} bytes, '
+            f'expected at most {MAX_ENVELOPE_BYTES}',
             step=Step.DECODE,
             peer=peer,
         )
--- a/bergamotthread/wire/messages.py
+++ b/bergamotthread/wire/messages.py
@@ -1,8 +1,8 @@
 """Typed messages between entries and agents.
 
 Messages are frozen `msgspec` structures, encoded as msgpack arrays with a tag,
-so that `match` tells them apart. A field may only be added at the end, with a
-default. Durations are relative, since processes share no clock.
+so that `match` can distinguish them. New fields may only be added at the end,
+with a default. Durations are relative, since processes do not share a clock.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Pin(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Model, version and adapter that every attempt of a generation runs."""
+    """Model, version and adapter of every attempt of a generation."""
 
     model: str
     version: str
@@ -34,7 +34,7 @@
 
 
 class EndReason(enum.StrEnum):
-    """Why an attempt produces no more tokens."""
+    """Reason why an attempt produces no more tokens."""
 
     STOP = 'stop'
     LENGTH = 'length'
@@ -47,14 +47,14 @@
 
 
 class EndMark(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """End of an attempt with the token count of the whole answer."""
+    """End of an attempt, with the number of tokens of the whole answer."""
 
     reason: EndReason
     count: int
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Consecutive tokens of one attempt, from `offset` on."""
+    """Consecutive tokens of one attempt, starting at `offset`."""
 
     generation: str
     attempt: int
@@ -64,10 +64,11 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Load of one upstream as its agent knows it; `age_ms` is the lag.
+    """Load of one upstream as known to its agent; `age_ms` is its age.
 
-    `prefill_tokens` are waiting or under way; `prefill_per_s` is the rate in
-    tokens per second that the agent has seen, 0 where it has seen none.
+    `prefill_tokens` counts the prompt tokens that wait for prefill or are being
+    processed. `prefill_per_s` is the rate in tokens per second that the agent
+    has observed, 0 if it has observed none.
     """
 
     running: int = 0
@@ -83,10 +84,10 @@
 
 
 class Dispatch(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to agent: run one attempt after the `accepted` tokens.
+    """Entry to agent: run one attempt that continues `accepted`.
 
-    `suspect` marks a request whose upstreams died; at most one such runs on an
-    upstream at a time.
+    `suspect` marks a request whose upstreams died; an upstream runs at most one
+    such request at a time.
     """
 
     generation: str
@@ -112,7 +113,7 @@
 
 
 class Waiting(_Message, frozen=True, array_like=True, tag=True):
-    """Agent to entry: the attempt waits for capacity, nothing was sent."""
+    """Agent to entry: the attempt waits for capacity; nothing was sent."""
 
     generation: str
     attempt: int
@@ -128,7 +129,7 @@
 
 
 class Cancel(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to agent: stop an attempt and forget its output."""
+    """Entry to agent: stop an attempt and discard its output."""
 
     generation: str
     attempt: int
@@ -142,7 +143,7 @@
 
 
 class Revoked(_Message, frozen=True, array_like=True, tag=True):
-    """Agent to entry: whether any byte of it had reached the upstream."""
+    """Agent to entry: whether any byte had reached the upstream."""
 
     generation: str
     attempt: int
@@ -150,7 +151,7 @@
 
 
 class Fetch(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to agent: send output from `offset` on to the sender."""
+    """Entry to agent: send the sender the output from `offset` on."""
 
     generation: str
     attempt: int
@@ -158,14 +159,14 @@
 
 
 class Missing(_Message, frozen=True, array_like=True, tag=True):
-    """Agent to entry: the output of the attempt is not held here."""
+    """Agent to entry: the agent does not hold the output of the attempt."""
 
     generation: str
     attempt: int
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Offset up to which the caller has taken the output."""
+    """Offset up to which the caller has consumed the output."""
 
     generation: str
     attempt: int
@@ -173,14 +174,14 @@
 
 
 class Acks(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to agent: coalesced acknowledgements; also a heartbeat."""
+    """Entry to agent: combined acknowledgements, also used as heartbeat."""
 
     acks: tuple[Ack, ...]
     config_version: int = 0
 
 
 class OutputBatch(_Message, frozen=True, array_like=True, tag=True):
-    """Agent to entry: all output since the last flush, and the load."""
+    """Agent to entry: all output since the last flush and the load."""
 
     frames: tuple[Frame, ...]
     load: LoadReport
@@ -190,8 +191,8 @@
 class CallDispatch(_Message, frozen=True, array_like=True, tag=True):
     """Entry to agent: send one call to the plain service beside it.
 
-    For a guarded call `attempt` is the agent's ticket and `incarnation` that
-    of the agent process that issued it; an idempotent call has incarnation 0.
+    For a guarded call, `attempt` is the agent's ticket and `incarnation` that
+    of the agent process that issued it. An idempotent call has incarnation 0.
     """
 
     call: str
@@ -208,7 +209,7 @@
 
 
 class CallStatus(enum.StrEnum):
-    """What the agent knows of a call after it."""
+    """Outcome of a call as far as the agent knows it."""
 
     DONE = 'done'
     NOT_DISPATCHED = 'not_dispatched'
@@ -216,7 +217,7 @@
 
 
 class CallReply(_Message, frozen=True, array_like=True, tag=True):
-    """Agent to entry: answer of a plain service, or why there is none."""
+    """Agent to entry: answer of a plain service or why there is none."""
 
     call: str
     attempt: int
@@ -230,10 +231,10 @@
 class ConfigNotice(_Message, frozen=True, array_like=True, tag=True):
     """Any to any: newest published version known to the sender.
 
-    `document` is a `bergamotthread.version.record.Bundle` as JSON, empty where
-    only the number is told. `nonce` is that of the request answered, 0 for
-    none; `proof_age_ms` is how long before the answer the table held no newer
-    version, negative where that is not known.
+    `document` is a `bergamotthread.version.record.Bundle` as JSON, empty if
+    only the version number is sent. `nonce` is that of the answered request,
+    0 if there is none. `proof_age_ms` is how long before the answer the table
+    held no newer version, negative if that is unknown.
     """
 
     version: int
@@ -243,7 +244,7 @@
 
 
 class ConfigRequest(_Message, frozen=True, array_like=True, tag=True):
-    """Any to any: send the published version if newer than `version`."""
+    """Any to any: send the published version if it exceeds `version`."""
 
     version: int
     nonce: int = 0
@@ -267,7 +268,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One process in the membership."""
+    """One process in the member list."""
 
     address: str
     incarnation: int
@@ -278,7 +279,7 @@
 
 
 class Probe(_Message, frozen=True, array_like=True, tag=True):
-    """Heartbeat that asks for a `ProbeReply`; carries recent changes."""
+    """Heartbeat that requests a `ProbeReply`, with recent member changes."""
 
     sequence: int
     members: tuple[Member, ...] = ()
@@ -286,7 +287,7 @@
 
 
 class ProbeReply(_Message, frozen=True, array_like=True, tag=True):
-    """Answer to a `Probe`; carries recent changes."""
+    """Answer to a `Probe`, with recent member changes."""
 
     sequence: int
     members: tuple[Member, ...] = ()
@@ -294,7 +295,7 @@
 
 
 class ProbeRequest(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to entry: probe `target` and pass its answer on."""
+    """Entry to entry: probe `target` and forward its answer."""
 
     sequence: int
     target: str
@@ -316,7 +317,7 @@
 
 
 class TeamDemand(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Wanted and held share of one team's limits at the sender, 0 to 1."""
+    """Wanted and held share of a team's limits at the sender, 0 to 1."""
 
     team: str
     wanted: float
@@ -324,9 +325,9 @@
 
 
 class TeamShare(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Leased share of one team's limits, 0 to 1.
+    """Leased share of a team's limits, 0 to 1.
 
-    `contended` tells that more was wanted than there is.
+    `contended` is true if the requested shares exceed the limits.
     """
 
     team: str
@@ -335,10 +336,10 @@
 
 
 class ShareRequests(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to home entry: demands of the teams that it is the home of.
+    """Entry to home entry: demands of the teams of that home entry.
 
-    `sequence` is repeated in the answer, so that the lease counts from the
-    time at which the request was sent.
+    The answer repeats `sequence`, so that the lease is counted from the time at
+    which the request was sent.
     """
 
     sequence: int
@@ -346,7 +347,7 @@
 
 
 class ShareGrants(_Message, frozen=True, array_like=True, tag=True):
-    """Home entry to entry: leased shares, for `lease_ms` from the request."""
+    """Home entry to entry: shares leased for `lease_ms` from the request."""
 
     sequence: int
     lease_ms: float
@@ -364,7 +365,7 @@
 class Order(_Message, frozen=True, array_like=True, tag=True):
     """Lease holder to agent: order for the engine beside it.
 
-    `number` rises with each order of one fence.
+    `number` increases with each order of the same fence.
     """
 
     order: str
@@ -393,13 +394,13 @@
 
 
 class CallOffer(_Message, frozen=True, array_like=True, tag=True):
-    """Entry to agent: asks for a ticket to dispatch one guarded call."""
+    """Entry to agent: request a ticket to dispatch one guarded call."""
 
     call: str
 
 
 class CallOfferReply(_Message, frozen=True, array_like=True, tag=True):
-    """Agent to entry: ticket for one dispatch, or why there is none."""
+    """Agent to entry: ticket for one dispatch or why there is none."""
 
     call: str
     ticket: int
@@ -442,7 +443,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Message with its sender; `incarnation` rises with each process start."""
+    """Message and its sender; `incarnation` grows with each process start."""
 
     sender: str
     incarnation: int
