--- a/bergamotthread/__init__.py
+++ b/bergamotthread/__init__.py
@@ -1,1 +1,1 @@
-"""Serving system for long generations on engines that fail."""
+"""Serving system for long generations on engines that may fail."""
--- a/bergamotthread/__main__.py
+++ b/bergamotthread/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line."""
+"""Entry point of `python -m bergamotthread`."""
 
 from __future__ import annotations
 
--- a/bergamotthread/clock.py
+++ b/bergamotthread/clock.py
@@ -1,4 +1,4 @@
-"""The only source of time, in milliseconds."""
+"""Time source of the whole package, in milliseconds."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     monotonic_s
         Monotonic time in seconds; only differences are meaningful.
     calendar_s
-        Seconds since the Unix epoch, used for records and never for timeouts.
+        Seconds since the Unix epoch, used in records but never for timeouts.
     boot_s
-        Seconds that also count while the machine is suspended, for the age of
-        permissions; `monotonic_s` where none is given.
+        Time in seconds that also advances while the machine is suspended, for
+        the age of permissions; `monotonic_s` if None.
     """
 
     monotonic_s: Callable[[], float]
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_system(cls) -> Clock:
-        """Return the clock of the machine."""
+        """Return a clock that reads the time of the machine."""
         return cls(
             monotonic_s=time.monotonic,
             calendar_s=time.time,
@@ -48,7 +48,7 @@
         return self.monotonic_s() * _MS_PER_S
 
     def boot_ms(self) -> float:
-        """Return milliseconds that also count while suspended."""
+        """Return milliseconds that also advance while suspended."""
         read_s = self.boot_s or self.monotonic_s
         return read_s() * _MS_PER_S
 
--- a/bergamotthread/errors.py
+++ b/bergamotthread/errors.py
@@ -1,4 +1,4 @@
-"""Base of every error that the package raises."""
+"""Base classes of the errors that the package raises."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     step
         Step at which the error arose.
     peer
-        Address or name of the other side; empty where there is none.
+        Address or name of the peer; empty if there is none.
     """
 
     def __init__(self, message: str, *, step: Step, peer: str = '') -> None:
@@ -60,4 +60,4 @@
 
 
 class DecodeError(BergamotError):
-    """Bytes from outside are not a valid message."""
+    """Received or stored bytes can not be decoded."""
--- a/bergamotthread/testing/__init__.py
+++ b/bergamotthread/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Assertions and virtual time for tests."""
+"""Event loops, networks, platforms and services in memory, for tests."""
--- a/bergamotthread/testing/asgi_call.py
+++ b/bergamotthread/testing/asgi_call.py
@@ -1,4 +1,4 @@
-"""Calls an application without a server, for tests."""
+"""Calls an ASGI application without a server, for tests."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass
 class AsgiAnswer:
-    """Answer of an application."""
+    """Answer of an ASGI application."""
 
     status: int = 0
     body: bytes = b''
     headers_by_name: dict[str, str] = field(default_factory=dict)
 
     async def receive(self, message: Message) -> None:
-        """Take in one message of the application."""
+        """Add one message of the application to the answer."""
         if message['type'] == 'http.response.start':
             self.status = message['status']
             self.headers_by_name = {
--- a/bergamotthread/testing/call_group.py
+++ b/bergamotthread/testing/call_group.py
@@ -1,4 +1,4 @@
-"""Entries, agents and one plain service around a platform, in memory."""
+"""Entries, agents and one plain service on one platform, in memory."""
 
 from __future__ import annotations
 
@@ -36,9 +36,10 @@
 
 @dataclass
 class CallGroup:
-    """Two entries, two agents and the service that both agents stand beside.
+    """Two entries and two agents that share one plain service.
 
-    All agents share one service, so that its counts show a doubled run.
+    All agents call the same service, so that its counts show a call that ran
+    twice.
     """
 
     clock: Clock
@@ -62,7 +63,7 @@
         store_delay_ms: float = 5,
         limits: CallLimits | None = None,
     ) -> CallGroup:
-        """Return a group on the running loop."""
+        """Return a group on the running event loop."""
         clock = Clock.from_loop(asyncio.get_running_loop())
         platform = MemoryPlatform(clock)
         platform.faults.delay_ms = store_delay_ms
@@ -80,7 +81,7 @@
         return group
 
     def start_entry(self, address: str, table: Table | None = None) -> None:
-        """Start an entry, in place of any earlier one at the address."""
+        """Start an entry, which replaces any earlier one at the address."""
         memory_table = MemoryTable(self.platform)
         self.tables_by_address[address] = memory_table
         transport = self._transport(address)
@@ -100,7 +101,7 @@
         address: str,
         limits: ExecutorLimits | None = None,
     ) -> None:
-        """Start an agent, in place of any earlier one at the address."""
+        """Start an agent, which replaces any earlier one at the address."""
         transport = self._transport(address)
         executor = CallExecutor(
             transport,
@@ -113,18 +114,18 @@
         self.executors_by_address[address] = executor
 
     async def stop_agent(self, address: str) -> None:
-        """End an agent's process without notice."""
+        """Stop an agent without notifying other processes."""
         self.network.ends_by_address.pop(address, None)
         await self.executors_by_address[address].close()
 
     def stop_entry(self, address: str) -> None:
-        """End an entry's process without notice."""
+        """Stop an entry without notifying other processes."""
         self.network.ends_by_address.pop(address, None)
         self.runners_by_address[address].close()
 
     def request(self, key: str = 'k', **changes: object) -> CallRequest:
-        """Return a certificate's issuance with some fields changed."""
-        issuance = CallRequest(
+        """Return a request that issues a certificate, with changed fields."""
+        default_request = CallRequest(
             service=SERVICE,
             team=TEAM,
             key=key,
@@ -137,15 +138,15 @@
             timeout_ms=2000,
             remaining_ms=10_000,
         )
-        return replace(issuance, **changes)  # type: ignore[arg-type]
+        return replace(default_request, **changes)  # type: ignore[arg-type]
 
     def row(self, key: str = 'k') -> CallRow | None:
-        """Return the row of a key as the table has it."""
+        """Return the row of a key in the table, or None."""
         row = self.platform.rows_by_key.get(row_key(SERVICE, TEAM, key))
         return decode_row(row.body) if row else None
 
     def runs(self, key: str = 'k') -> int:
-        """Return how often the service ran a key."""
+        """Return how often the service ran the call with a key."""
         return self.service.runs_by_key.get(key, 0)
 
     def _transport(self, address: str) -> MemoryTransport:
--- a/bergamotthread/testing/loopback.py
+++ b/bergamotthread/testing/loopback.py
@@ -1,4 +1,4 @@
-"""Ports of loopback for processes that a test or a benchmark starts."""
+"""Free loopback ports for processes that tests and benchmarks start."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 import socket
 
 LOOPBACK = '127.0.0.1'
-# Below the range that Linux takes for outgoing connections (32768 and up): a
-# port from there may be taken again between its choice and its use.
+# Below Linux's range of ephemeral ports (32768 and up): an outgoing connection
+# may take a port of that range after it was chosen and before it is used.
 PORT_MIN = 10_000
 PORT_COUNT = 20_000
-# Apart by this much, so that test runs side by side seldom try the same ones.
+# Distance between the first ports of processes with consecutive ids, so that
+# parallel test runs rarely try the same ports.
 _STRIDE = 131
 
 _serial = itertools.count(os.getpid() * _STRIDE)
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on, another one with each call."""
-    for number in itertools.islice(_serial, PORT_COUNT):
-        port = PORT_MIN + number % PORT_COUNT
+    """Return a port that nothing listens on, a new one with each call."""
+    for serial in itertools.islice(_serial, PORT_COUNT):
+        port = PORT_MIN + serial % PORT_COUNT
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
@@ -29,11 +30,13 @@
             except OSError:
                 continue
         return port
-    raise OSError(f'no free port from {PORT_MIN}, {PORT_COUNT} were tried')
+    raise OSError(
+        f'no free port from {PORT_MIN} on, {PORT_COUNT} ports were tried'
+    )
 
 
 def free_address() -> str:
-    """Return an address of loopback with a free port."""
+    """Return a loopback address with a free port."""
     return f'{LOOPBACK}:{free_port()}'
 
 
@@ -45,7 +48,7 @@
     Raises
     ------
     OSError
-        If nothing accepts it.
+        If the connection is not accepted.
     """
     host, _, port = address.rpartition(':')
     return await asyncio.open_connection(host, int(port))
--- a/bergamotthread/testing/memory_http.py
+++ b/bergamotthread/testing/memory_http.py
@@ -1,7 +1,7 @@
 """TCP connections in memory and virtual time, with delays and faults.
 
-A loop from `run_in_memory` opens connections and servers inside the test. Bytes
-arrive after the network's delay, in order; an address can be killed, silenced
+The event loop of `run_in_memory` opens connections and servers in memory. Bytes
+arrive in order after the network's delay; an address can be killed, silenced
 and restored.
 """
 
@@ -40,7 +40,7 @@
             self._net.carry(self, bytes(payload))
 
     def close(self) -> None:
-        """End the connection after what was written."""
+        """Close the connection after the written bytes."""
         if self._is_closing:
             return
         self._is_closing = True
@@ -48,7 +48,7 @@
         self._net.loop.call_soon(self.protocol.connection_lost, None)
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection, as `close` does."""
         self.close()
 
     def is_closing(self) -> bool:
@@ -56,23 +56,23 @@
         return self._is_closing
 
     def break_off(self) -> None:
-        """End the connection as a reset does."""
+        """End the connection with `ConnectionResetError`, as a reset does."""
         if not self._is_closing:
             self._is_closing = True
             error = ConnectionResetError(104, 'Connection reset by peer')
             self.protocol.connection_lost(error)
 
     def pause_reading(self) -> None:
-        """Leave what arrives unread."""
+        """Buffer arriving bytes instead of passing them to the protocol."""
         self._is_reading = False
 
     def resume_reading(self) -> None:
-        """Read again, what has arrived first."""
+        """Deliver buffered bytes and read again."""
         self._is_reading = True
         self.deliver()
 
     def get_write_buffer_size(self) -> int:
-        """Return 0; the network takes all at once."""
+        """Return 0, since the network accepts all bytes at once."""
         return 0
 
     def set_write_buffer_limits(
@@ -80,15 +80,15 @@
         high: int | None = None,
         low: int | None = None,
     ) -> None:
-        """Take any limits; the network takes all at once."""
+        """Ignore the limits, since the network accepts all bytes at once."""
 
     def arrive(self, payload: bytes | None) -> None:
-        """Take in bytes, or the other end's close."""
+        """Receive bytes, or None if the other end closed."""
         self.unread.append(payload)
         self.deliver()
 
     def deliver(self) -> None:
-        """Hand what arrived to the protocol while it reads."""
+        """Pass received bytes to the protocol while it reads."""
         while self.unread and self._is_reading and not self._is_closing:
             payload = self.unread.popleft()
             if payload is not None:
@@ -98,14 +98,14 @@
 
 
 class _MemoryServer:
-    """What `create_server` returns."""
+    """Server that `create_server` returns."""
 
     def __init__(self, net: MemoryNetwork, address: str) -> None:
         self._net = net
         self._address = address
 
     def close(self) -> None:
-        """Stop accepting."""
+        """Stop accepting connections."""
         self._net.factory_by_address.pop(self._address, None)
 
 
@@ -116,9 +116,9 @@
     Parameters
     ----------
     delay_ms
-        Time on the way in each direction.
+        Delay in each direction.
     silent
-        Addresses from and to which nothing gets through.
+        Addresses of servers from and to which no bytes are delivered.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -130,7 +130,7 @@
     transports: list[MemoryTransport] = field(default_factory=list)
 
     def listen(self, factory: ProtocolFactory, address: str) -> _MemoryServer:
-        """Accept connections of an address."""
+        """Accept connections to an address."""
         self.factory_by_address[address] = factory
         return _MemoryServer(self, address)
 
@@ -151,30 +151,37 @@
         factory: ProtocolFactory,
         address: str,
     ) -> tuple[MemoryTransport, asyncio.Protocol]:
-        """Open a connection; both ends know the server's address."""
+        """Open a connection; both ends store the server's address.
+
+        Raises
+        ------
+        ConnectionRefusedError
+            If nothing listens at the address.
+        """
         await asyncio.sleep(2 * self.delay_ms / _MS_PER_S)
         if address in self.silent:
-            # No answer ever comes; the caller has a timeout.
+            # No answer ever arrives; the caller is expected to have a timeout.
             await self.loop.create_future()
         accept = self.factory_by_address.get(address)
         if accept is None:
             raise ConnectionRefusedError(111, f'nothing listens at {address}')
-        near, far = (
+        client, server = (
             MemoryTransport(self, _protocol(make)) for make in (factory, accept)
         )
-        near.peer = far
-        far.peer = near
-        for transport in (far, near):
+        client.peer = server
+        server.peer = client
+        for transport in (server, client):
             transport.address = address
             self.transports.append(transport)
             transport.protocol.connection_made(transport)
-        return near, near.protocol
+        return client, client.protocol
 
     def carry(self, sender: MemoryTransport, payload: bytes | None) -> None:
         """Deliver bytes to the other end after the delay."""
         if sender.address in self.silent:
             return
-        # Timers of the same moment fire in any order; the queue keeps it.
+        # Timers that expire at the same time fire in any order; the queue keeps
+        # the bytes in order.
         sender.on_the_way.append(payload)
         self.loop.call_later(
             self.delay_ms / _MS_PER_S,
@@ -189,7 +196,7 @@
 
 
 class MemoryLoop(VirtualEventLoop):
-    """Virtual loop whose connections stay in memory."""
+    """Virtual event loop whose connections stay in memory."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -201,7 +208,7 @@
         host: str,
         port: int,
     ) -> tuple[MemoryTransport, asyncio.Protocol]:
-        """Open a connection inside the test."""
+        """Open a connection in memory."""
         return await self.net.connect(factory, f'{host}:{port}')
 
     async def create_server(  # type: ignore[override]
@@ -211,7 +218,7 @@
         port: int,
         **_: object,
     ) -> _MemoryServer:
-        """Accept connections inside the test."""
+        """Accept connections in memory."""
         return self.net.listen(factory, f'{host}:{port}')
 
 
@@ -238,5 +245,7 @@
 def _protocol(make: ProtocolFactory) -> asyncio.Protocol:
     protocol = make()
     if not isinstance(protocol, asyncio.Protocol):
-        raise TypeError(f'{type(protocol).__name__}, expected a Protocol')
+        raise TypeError(
+            f'protocol is {type(protocol).__name__}, expected a Protocol'
+        )
     return protocol
--- a/bergamotthread/testing/memory_network.py
+++ b/bergamotthread/testing/memory_network.py
@@ -21,11 +21,13 @@
     Parameters
     ----------
     delay_ms
-        One-way delay of every link that `delay_ms_by_link` does not name.
+        One-way delay of every link that `delay_ms_by_link` does not contain.
     jitter_ms
-        Largest extra delay, drawn evenly; messages can overtake each other.
+        Maximum extra delay, drawn uniformly; messages can be reordered.
     loss
-        Share of messages that are lost, 0 to 1.
+        Fraction of messages that are lost, 0 to 1.
+    duplication
+        Fraction of messages that are delivered twice, 0 to 1.
     """
 
     delay_ms: float = 1
@@ -43,17 +45,17 @@
         self._random = random.Random(self.seed)
 
     def transport(self, address: str, incarnation: int = 1) -> MemoryTransport:
-        """Return a new end with `address`, in place of any earlier one."""
+        """Return a new end at `address`, which replaces any earlier one."""
         end = MemoryTransport(self, address, incarnation)
         self.ends_by_address[address] = end
         return end
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Lose all messages from `sender` to `receiver`."""
+        """Drop all messages from `sender` to `receiver`."""
         self.cut_links.add((sender, receiver))
 
     def cut_both(self, one: str, other: str) -> None:
-        """Lose all messages between two ends."""
+        """Drop all messages between two ends."""
         self.cut(one, other)
         self.cut(other, one)
 
@@ -92,7 +94,7 @@
 
 
 class MemoryTransport(Transport):
-    """One end of a `MemoryNetwork`; messages still pass the codec."""
+    """One end of a `MemoryNetwork`; messages are encoded and decoded."""
 
     def __init__(
         self,
@@ -106,23 +108,23 @@
         self._receiver: Receiver | None = None
 
     def send(self, peer: str, message: Message) -> None:
-        """Hand the encoded message to the network unless closed."""
+        """Pass the encoded message to the network unless this end is closed."""
         if self._network.ends_by_address.get(self.address) is not self:
             return
         envelope = Envelope(self.address, self.incarnation, message)
         self._network.carry(self.address, peer, encode_envelope(envelope))
 
     def start(self, receiver: Receiver) -> None:
-        """Start to hand received envelopes to `receiver`."""
+        """Start passing received envelopes to `receiver`."""
         self._receiver = receiver
 
     def deliver(self, encoded: bytes) -> None:
-        """Pass bytes that have arrived to the receiver."""
+        """Decode received bytes and pass the envelope to the receiver."""
         if self._receiver is not None:
             self._receiver(decode_envelope(encoded))
 
     def close(self) -> None:
-        """Take this end off the network."""
+        """Remove this end from the network."""
         self._receiver = None
         if self._network.ends_by_address.get(self.address) is self:
             self._network.ends_by_address.pop(self.address)
--- a/bergamotthread/testing/memory_platform.py
+++ b/bergamotthread/testing/memory_platform.py
@@ -1,4 +1,4 @@
-"""The platform's table and object store in memory, with faults."""
+"""The platform's table, object store and host list in memory, with faults."""
 
 from __future__ import annotations
 
@@ -40,20 +40,20 @@
 
 @dataclass
 class PlatformFaults:
-    """Faults in force; `lost_answers` counts writes that take effect mutely.
+    """Faults that currently apply to the platform.
 
     Parameters
     ----------
     down
-        Whether every access fails; a write then has no effect.
+        Whether every access fails; writes then have no effect.
     delay_ms
-        Time that each access takes before it has its effect.
+        Time that each access takes before it takes effect.
     lost_answers
-        Number of next writes that take effect but are answered by an error.
+        Number of further writes that take effect but raise an error.
     late_answer_ms
         Time between the effect of a write and its answer.
     writes_per_s
-        Rate at which writes are served, one after another; 0 for no limit.
+        Rate at which writes are processed one by one; 0 for no limit.
     """
 
     down: bool = False
@@ -88,7 +88,7 @@
         await self._delay()
 
     async def after_write(self) -> None:
-        """Delay or lose the answer of a write that took effect, if told to."""
+        """Apply delayed and lost answers to a write that took effect."""
         if self.faults.late_answer_ms:
             await self.clock.sleep_ms(self.faults.late_answer_ms)
         if self.faults.lost_answers > 0:
@@ -114,15 +114,15 @@
 class MemoryTable(Table):
     """Client of the table of a `MemoryPlatform`; `cut` isolates this client.
 
-    A write goes on when its caller is cancelled, as one sent over a network
-    does, so that it can take effect after the caller's timeout.
+    A write continues after its caller is cancelled, like one that was sent over
+    a network, so that it can take effect after the caller's timeout.
     """
 
     platform: MemoryPlatform
     cut: bool = False
 
     async def read(self, key: str) -> Row | None:
-        """Return the row, or None where there is none."""
+        """Return the row, or None if it does not exist."""
         self._check_cut()
         await self.platform.before_read()
         return self.platform.rows_by_key.get(key)
@@ -142,8 +142,8 @@
         self._check_cut()
         await self.platform.before_read()
         keys = sorted(self.platform.rows_by_key)
-        chosen = [key for key in keys if key.startswith(prefix)]
-        return tuple(self.platform.rows_by_key[key] for key in chosen[:limit])
+        found = [key for key in keys if key.startswith(prefix)]
+        return tuple(self.platform.rows_by_key[key] for key in found[:limit])
 
     async def _write(self, row: Row) -> Row:
         await self.platform.before_write()
@@ -179,14 +179,14 @@
     platform: MemoryPlatform
 
     async def put(self, name: str, body: bytes) -> None:
-        """Store an object; the same name and body again is no error."""
+        """Store an object; storing the same body again is not an error."""
         await self.platform.before_write()
         if self.platform.bodies_by_name.setdefault(name, body) != body:
             raise StoreConflictError(f'{name} exists', step=Step.STORE)
         await self.platform.after_write()
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if it does not exist."""
         await self.platform.before_read()
         return self.platform.bodies_by_name.get(name)
 
@@ -194,7 +194,7 @@
         """Return up to `limit` names that start with `prefix`, sorted."""
         await self.platform.before_read()
         names = sorted(self.platform.bodies_by_name)
-        return tuple(one for one in names if one.startswith(prefix))[:limit]
+        return tuple(name for name in names if name.startswith(prefix))[:limit]
 
 
 @dataclass
--- a/bergamotthread/testing/memory_service.py
+++ b/bergamotthread/testing/memory_service.py
@@ -21,20 +21,22 @@
 
 @dataclass
 class MemoryService(ServiceClient):
-    """Service that outlives its agents; counts and faults are public.
+    """Service that outlives its agents, with public counts and faults.
 
     Parameters
     ----------
     clock
         Source of time.
     checks_fencing
-        Whether a fencing token older than one seen is refused.
+        Whether a fencing token older than the last one of its key is refused.
     delay_ms
         Time between a run and its answer.
     dropped_answers
-        Number of next calls that run and are not answered.
+        Number of further calls that run but are not answered.
     is_down
-        Whether no connection can be made.
+        Whether connections fail.
+    answer_bytes
+        Minimum size of an answer's body.
     """
 
     clock: Clock
@@ -47,7 +49,15 @@
     fence_by_key: dict[str, int] = field(default_factory=dict)
 
     async def call(self, request: ServiceRequest) -> ServiceAnswer:
-        """Count a run of the key and answer after the delay."""
+        """Count a run of the key and answer after the delay.
+
+        Raises
+        ------
+        ServiceUnreachableError
+            If the service is down.
+        ServiceLostError
+            If the answer is dropped.
+        """
         if self.is_down:
             raise ServiceUnreachableError('service is down', step=Step.DISPATCH)
         headers = dict(request.headers)
@@ -60,7 +70,7 @@
         return await self._answer(key)
 
     async def close(self) -> None:
-        """Keep all counts, since the service outlives its agents."""
+        """Keep the counts, since the service outlives its agents."""
 
     async def _answer(self, key: str) -> ServiceAnswer:
         await self.clock.sleep_ms(self.delay_ms)
--- a/bergamotthread/testing/version_group.py
+++ b/bergamotthread/testing/version_group.py
@@ -1,4 +1,4 @@
-"""Group of version holders over memory, with pauses, cuts and loss."""
+"""Group of version holders in memory, with pauses, cut links and losses."""
 
 from __future__ import annotations
 
@@ -31,30 +31,30 @@
 
 @dataclass(frozen=True)
 class PausableClock(Clock):
-    """Clock whose sleepers wake only while the process runs."""
+    """Clock whose sleeps end only while the process is running."""
 
     running: asyncio.Event
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Suspend the calling task, also as long as the process is paused."""
+        """Suspend the calling task, at least until the process is running."""
         await super().sleep_ms(duration_ms)
         await self.running.wait()
 
 
 @dataclass
 class PausableTable(MemoryTable):
-    """Table client whose answers are seen only while the process runs."""
+    """Table client that returns answers only while the process is running."""
 
     running: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def read(self, key: str) -> Row | None:
-        """Return the row once the process runs."""
+        """Return the row once the process is running."""
         row = await super().read(key)
         await self.running.wait()
         return row
 
     async def write(self, key: str, body: bytes, *, expected: int) -> Row:
-        """Write the row, and see the answer once the process runs."""
+        """Write the row and return it once the process is running."""
         row = await super().write(key, body, expected=expected)
         await self.running.wait()
         return row
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Admission:
-    """Moment at which a holder was asked to admit, and by which version."""
+    """Time and version at which a holder was asked whether it admits."""
 
     at_ms: float
     address: str
@@ -87,7 +87,7 @@
         return self.transport.address
 
     def receive(self, envelope: Envelope) -> None:
-        """Hand an envelope to the holder, or keep it during a pause."""
+        """Pass an envelope to the holder or keep it during a pause."""
         if self.running.is_set():
             self.holder.on_message(envelope)
         else:
@@ -96,7 +96,7 @@
 
 @dataclass
 class VersionGroup:
-    """Holders of a few regions, their platform and what they would admit."""
+    """Holders of a few regions, their platform and sampled admissions."""
 
     clock: Clock
     platform: MemoryPlatform
@@ -111,14 +111,14 @@
 
     @classmethod
     def from_loop(cls, network: MemoryNetwork) -> VersionGroup:
-        """Return a group on the running loop; the store answers in 5 ms."""
+        """Return a group on the running event loop; the store takes 5 ms."""
         clock = Clock.from_loop(asyncio.get_running_loop())
         platform = MemoryPlatform(clock)
         platform.faults.delay_ms = 5
         return cls(clock, platform, network)
 
     def publisher(self) -> Publisher:
-        """Return an operator's client."""
+        """Return a publisher, as an operator's command uses it."""
         return Publisher.from_platform(
             MemoryTable(self.platform),
             MemoryObjectStore(self.platform),
@@ -134,7 +134,7 @@
         has_table: bool = True,
         limits: StoreLimits | None = None,
     ) -> GroupMember:
-        """Start a process, in place of any earlier one at its address."""
+        """Start a process, which replaces any earlier one at its address."""
         running = asyncio.Event()
         running.set()
         clock = PausableClock(
@@ -171,18 +171,21 @@
         ]
 
     def kill(self, address: str) -> None:
-        """End a process without notice."""
+        """Stop a process without notifying the others."""
         member = self.members_by_address.pop(address)
         member.transport.close()
         if member.task is not None:
             member.task.cancel()
 
     def pause(self, address: str) -> None:
-        """Stop a process between two instructions."""
+        """Pause a process between two instructions."""
         self.members_by_address[address].running.clear()
 
     def resume(self, address: str) -> None:
-        """Let a paused process go on, with a request as its first event."""
+        """Resume a paused process and first sample what it would admit.
+
+        Messages received during the pause are handled after the sample.
+        """
         member = self.members_by_address[address]
         member.running.set()
         self._sample_member(member)
@@ -190,13 +193,13 @@
             member.holder.on_message(member.held_back.pop(0))
 
     def sample(self) -> None:
-        """Note what every running process would admit now."""
+        """Record what every running process would admit now."""
         for member in self.members_by_address.values():
             if member.running.is_set():
                 self._sample_member(member)
 
     async def sample_forever(self) -> None:
-        """Sample at an interval until cancelled."""
+        """Sample periodically until cancelled."""
         while True:
             self.sample()
             self._note_in_force()
@@ -207,7 +210,7 @@
         version: int,
         timeout_ms: float = 60_000,
     ) -> Acceptance:
-        """Wait for acceptance as the command line does, and note its time."""
+        """Wait for acceptance as the command line does and record its time."""
         watch = AcceptanceWatch(MemoryTable(self.platform), self.clock)
         acceptance = await watch.wait(version, timeout_ms=timeout_ms)
         if acceptance.is_accepted:
@@ -215,7 +218,7 @@
         return acceptance
 
     def violations(self) -> list[Admission]:
-        """Return admissions after acceptance that an older version decided."""
+        """Return admissions by a version older than one already accepted."""
         return [
             admission
             for admission in self.admissions
@@ -234,7 +237,10 @@
 
     def _note_in_force(self) -> None:
         lowest = min(
-            (one.holder.version for one in self.members_by_address.values()),
+            (
+                member.holder.version
+                for member in self.members_by_address.values()
+            ),
             default=0,
         )
         for version in range(lowest, 0, -1):
--- a/bergamotthread/testing/virtual_loop.py
+++ b/bergamotthread/testing/virtual_loop.py
@@ -1,4 +1,4 @@
-"""Event loop in virtual time, for tests and benchmarks that repeat exactly."""
+"""Event loop in virtual time, for reproducible tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DeadlockError(RuntimeError):
-    """Every task waits and no timer is set."""
+    """All tasks wait and no timer is set."""
 
 
 class _JumpingSelector(selectors.SelectSelector):
@@ -32,7 +32,7 @@
 
 
 class VirtualEventLoop(asyncio.SelectorEventLoop):
-    """Loop whose time jumps to the next timer as soon as nothing is ready."""
+    """Event loop whose time jumps to the next timer when no task is ready."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -44,12 +44,12 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, _Answer]) -> _Answer:
-    """Run a coroutine to its end in virtual time.
+    """Run a coroutine in virtual time and return its result.
 
     Raises
     ------
     DeadlockError
-        If every task waits and no timer is set.
+        If all tasks wait and no timer is set.
     """
     with asyncio.Runner(loop_factory=VirtualEventLoop) as runner:
         return runner.run(main)
