--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -44,9 +44,9 @@
 async def _append(trail: AuditTrail, count: int = 1) -> list[bool]:
     return [
         await trail.append(
-            'drain', f'10.0.0.{one}', {'reason': 'kernel'}, 'ana'
+            'drain', f'10.0.0.{index}', {'reason': 'kernel'}, 'ana'
         )
-        for one in range(count)
+        for index in range(count)
     ]
 
 
@@ -55,11 +55,11 @@
     return await read_audit(MemoryObjectStore(platform), hours)
 
 
-def test_records_are_read_back_in_order() -> None:
+def test_records_of_two_writers_are_read_in_order_of_time() -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
-        one, other = _trail(platform), _trail(platform)
-        assert one.writer != other.writer
-        for trail in (one, other, one):
+        first, second = _trail(platform), _trail(platform)
+        assert first.writer != second.writer
+        for trail in (first, second, first):
             await trail.append(
                 'publish', 'v', {}, 'eva', version_before=1, version_after=2
             )
@@ -67,9 +67,9 @@
             await platform.clock.sleep_ms(10)
         records = await _read(platform)
         assert [record.writer for record in records] == [
-            one.writer,
-            other.writer,
-            one.writer,
+            first.writer,
+            second.writer,
+            first.writer,
         ]
         assert (records[0].version_before, records[0].version_after) == (1, 2)
         assert verify_chains(records) == ()
@@ -77,7 +77,7 @@
     _run(_scenario)
 
 
-def test_hours_are_read_apart() -> None:
+def test_only_records_of_the_given_hours_are_read() -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         trail = _trail(platform)
         await _append(trail)
@@ -101,23 +101,23 @@
         (lambda records: (*records, records[1]), 'record 3 occurs twice'),
         (
             lambda records: tuple(
-                msgspec.structs.replace(one, who='nobody')
-                if one.sequence == 4
-                else one
-                for one in records
+                msgspec.structs.replace(record, who='nobody')
+                if record.sequence == 4
+                else record
+                for record in records
             ),
             'record 4 was altered',
         ),
         (
             lambda records: tuple(
-                msgspec.structs.replace(one, sequence=9 - one.sequence)
-                for one in records
+                msgspec.structs.replace(record, sequence=9 - record.sequence)
+                for record in records
             ),
             'was altered',
         ),
     ],
 )
-def test_tampering_shows(damage: Callable, message: str) -> None:
+def test_altered_records_are_detected(damage: Callable, message: str) -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         trail = _trail(platform)
         await _append(trail, 8)
@@ -130,12 +130,12 @@
     _run(_scenario)
 
 
-def test_outage_keeps_the_first_records_and_counts_the_lost() -> None:
+def test_full_buffer_keeps_the_first_records_and_counts_the_lost() -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         platform.faults.down = True
         trail = _trail(platform)
-        taken = await _append(trail, MAX_BUFFERED_RECORDS + 5)
-        assert taken.count(False) == trail.lost == 5
+        accepted = await _append(trail, MAX_BUFFERED_RECORDS + 5)
+        assert accepted.count(False) == trail.lost == 5
         with pytest.raises(StoreUnavailableError):
             await trail.flush()
         running = asyncio.ensure_future(trail.run())
@@ -145,7 +145,9 @@
         running.cancel()
         await _append(trail)
         await trail.flush()
-        records = sorted(await _read(platform), key=lambda one: one.sequence)
+        records = sorted(
+            await _read(platform), key=lambda record: record.sequence
+        )
         assert records[-2].kind == LOST_KIND
         assert records[-2].detail == {'count': '5'}
         assert len(records) == MAX_BUFFERED_RECORDS + 2
@@ -154,7 +156,7 @@
     _run(_scenario)
 
 
-def test_lost_answers_write_each_record_once() -> None:
+def test_lost_answer_does_not_duplicate_records() -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         platform.faults.lost_answers = 3
         trail = _trail(platform)
@@ -186,7 +188,7 @@
 
 
 @pytest.mark.parametrize('body', [b'{', b'[{}]', b'\xff', b'[' * 100_000])
-def test_damaged_object_is_a_clear_error(body: bytes) -> None:
+def test_damaged_object_is_named_in_the_error(body: bytes) -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         platform.bodies_by_name['audit/1970-01-01T00/x/1'] = body
         with pytest.raises(DecodeError, match='audit/1970-01-01T00/x/1'):
@@ -204,19 +206,24 @@
         (AuditFilter(who='eva'), 1),
     ],
 )
-def test_filter(wanted: AuditFilter, count: int) -> None:
+def test_filter_selects_by_kind_subject_and_author(
+    wanted: AuditFilter, count: int
+) -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         trail = _trail(platform)
         await _append(trail, 3)
         await trail.append('publish', 'configuration', {}, 'eva')
         await trail.flush()
         records = await _read(platform)
-        assert len([one for one in records if wanted.selects(one)]) == count
+        assert (
+            len([record for record in records if wanted.selects(record)])
+            == count
+        )
 
     _run(_scenario)
 
 
-def test_quarantine_is_recorded() -> None:
+def test_quarantine_is_recorded_with_author_and_version() -> None:
     async def _scenario(platform: MemoryPlatform) -> None:
         trail = _trail(platform)
         sink = QuarantineAudit(trail, lambda: 7)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -99,7 +99,9 @@
         b'\x81\xa1a' * 100_000,
     ],
 )
-def test_announced_sizes_and_depth_take_little_memory(encoded: bytes) -> None:
+def test_announced_sizes_and_deep_nesting_take_little_memory(
+    encoded: bytes,
+) -> None:
     tracemalloc.start()
     assert _decode(encoded) is None
     _, peak = tracemalloc.get_traced_memory()
@@ -107,7 +109,7 @@
     assert peak < _MAX_ALLOCATED_BYTES
 
 
-def test_too_many_bytes_are_refused_unread(
+def test_oversized_envelope_is_rejected_before_it_is_decoded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(codec, 'MAX_ENVELOPE_BYTES', 10)
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -40,7 +40,7 @@
 
 
 class _Harness:
-    """One writer that runs, and readers on the same platform."""
+    """A running writer and readers on the same platform."""
 
     def __init__(self) -> None:
         self.clock = Clock.from_loop(asyncio.get_running_loop())
@@ -74,7 +74,7 @@
     run_virtual(with_harness())
 
 
-def test_found_from_another_process_after_the_writer_is_gone() -> None:
+def test_refusal_is_found_by_another_process_after_its_writer_ended() -> None:
     async def main(harness: _Harness) -> None:
         request_id = harness.refuse()
         await harness.clock.sleep_ms(1500)
@@ -87,7 +87,7 @@
     _run(main)
 
 
-def test_found_by_the_writer_before_it_is_written() -> None:
+def test_writer_finds_a_refusal_that_is_not_written_yet() -> None:
     async def main(harness: _Harness) -> None:
         harness.platform.faults.down = True
         request_id = harness.refuse()
@@ -99,19 +99,19 @@
 
 
 @pytest.mark.parametrize('team', ['trench', ''])
-def test_other_teams_read_nothing(team: str) -> None:
+def test_refusal_of_another_team_is_not_found(team: str) -> None:
     async def main(harness: _Harness) -> None:
-        own, nobody = harness.refuse(), harness.refuse(team='')
+        own, without_team = harness.refuse(), harness.refuse(team='')
         await harness.clock.sleep_ms(1500)
         other = harness.process('other')
         assert await other.find(own, team) is None
-        assert await other.find(nobody, team) is None
-        assert await other.find_for_operator(nobody)
+        assert await other.find(without_team, team) is None
+        assert await other.find_for_operator(without_team)
 
     _run(main)
 
 
-def test_writes_are_few_under_many_refusals() -> None:
+def test_many_refusals_are_written_in_few_batches() -> None:
     async def main(harness: _Harness) -> None:
         ids = []
         for _ in range(600):
@@ -127,23 +127,23 @@
     _run(main)
 
 
-def test_early_id_is_kept_while_its_batch_is_open_and_replaced_after() -> None:
+def test_id_is_replaced_if_it_is_used_or_its_batch_is_closed() -> None:
     async def main(harness: _Harness) -> None:
         early = harness.writer.new_request_id()
         late = harness.writer.new_request_id()
         assert harness.refuse(request_id=early) == early
         assert harness.refuse(request_id=early) != early
         await harness.clock.sleep_ms(1500)
-        told = harness.refuse(request_id=late)
+        returned_id = harness.refuse(request_id=late)
         await harness.clock.sleep_ms(20_000)
-        assert told != late
-        assert await harness.process('other').find(told, 'foundry')
+        assert returned_id != late
+        assert await harness.process('other').find(returned_id, 'foundry')
 
     _run(main)
 
 
 @pytest.mark.parametrize('lost_answers', [1, 2, 5])
-def test_lost_answers_write_one_object(lost_answers: int) -> None:
+def test_retries_after_lost_answers_write_one_object(lost_answers: int) -> None:
     async def main(harness: _Harness) -> None:
         harness.platform.faults.lost_answers = lost_answers
         request_id = harness.refuse()
@@ -156,7 +156,7 @@
     _run(main)
 
 
-def test_outage_of_an_hour_loses_nothing_within_the_bound() -> None:
+def test_outage_of_an_hour_loses_no_refusals_below_the_limit() -> None:
     async def main(harness: _Harness) -> None:
         harness.platform.faults.down = True
         ids = []
@@ -178,7 +178,7 @@
     ('limit', 'bound'),
     [('MAX_KEPT_REFUSALS', 5), ('MAX_KEPT_BYTES', 1000)],
 )
-def test_full_buffer_keeps_the_oldest_and_tells_the_loss(
+def test_full_buffer_keeps_the_oldest_and_reports_the_loss(
     monkeypatch: pytest.MonkeyPatch, limit: str, bound: int
 ) -> None:
     monkeypatch.setattr(explanations_module, limit, bound)
@@ -203,7 +203,7 @@
     _run(main)
 
 
-def test_flush_tells_that_the_store_is_away_and_keeps() -> None:
+def test_failed_flush_raises_and_keeps_the_refusals() -> None:
     async def main(harness: _Harness) -> None:
         harness.platform.faults.down = True
         harness.refuse()
@@ -214,7 +214,7 @@
     _run(main)
 
 
-def test_taken_name_counts_as_loss() -> None:
+def test_refusals_are_lost_if_the_object_name_is_taken() -> None:
     async def main(harness: _Harness) -> None:
         name = RequestId('writer', 0, None).object_name
         harness.platform.bodies_by_name[name] = b'other'
@@ -231,7 +231,9 @@
     ('credential', 'status'),
     [('one', 200), ('operator', 200), ('two', 404), ('none', 401)],
 )
-def test_route(credential: str, status: int) -> None:
+def test_route_answers_the_own_team_and_operators_only(
+    credential: str, status: int
+) -> None:
     published = PublishedVersion.from_object_set(
         3,
         ObjectSet(
@@ -258,7 +260,7 @@
     _run(main)
 
 
-def test_route_during_an_outage_says_when_to_come_back() -> None:
+def test_route_in_an_outage_answers_with_a_retry_time() -> None:
     published = PublishedVersion.from_object_set(
         3, ObjectSet(teams=(Team('foundry', (hash_credential('one'),)),))
     )
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -9,25 +9,25 @@
     free_port,
 )
 
-# Lowest port that Linux takes for outgoing connections, by its default.
+# Lowest port that Linux uses by default for outgoing connections.
 EPHEMERAL_PORT_MIN = 32_768
 
 
-def test_port_is_not_taken_for_outgoing_connections():
+def test_ports_are_below_those_of_outgoing_connections():
     ports = [free_port() for _ in range(50)]
     assert min(ports) >= PORT_MIN
     assert max(ports) < EPHEMERAL_PORT_MIN
     assert PORT_MIN + PORT_COUNT <= EPHEMERAL_PORT_MIN
 
 
-def test_port_in_use_is_passed_over():
-    before = free_port()
+def test_port_in_use_is_skipped():
+    previous = free_port()
     with socket.socket() as taken:
-        taken.bind((LOOPBACK, before + 1))
+        taken.bind((LOOPBACK, previous + 1))
         taken.listen()
-        assert free_port() == before + 2
+        assert free_port() == previous + 2
 
 
-def test_no_port_is_given_twice():
+def test_every_call_returns_another_port():
     ports = [free_port() for _ in range(50)]
     assert len(set(ports)) == 50
--- a/tests/test_memory_platform.py
+++ b/tests/test_memory_platform.py
@@ -26,7 +26,7 @@
     return table.platform.rows_by_key['a'].body
 
 
-def test_write_takes_effect_after_its_callers_timeout() -> None:
+def test_write_takes_effect_after_the_timeout_of_its_caller() -> None:
     assert run_virtual(_late_write()) == b'late'
 
 
@@ -39,11 +39,11 @@
     assert (await table.read('a')).body == b'1'
 
 
-def test_lost_answer_leaves_the_write_in_effect() -> None:
+def test_write_with_a_lost_answer_takes_effect() -> None:
     run_virtual(_lost_answer())
 
 
-async def _limited(writes: int) -> float:
+async def _write_at_limited_rate(writes: int) -> float:
     table = await _make(writes_per_s=500)
     await asyncio.gather(
         *(table.write(str(index), b'', expected=0) for index in range(writes)),
@@ -52,4 +52,4 @@
 
 
 def test_write_rate_is_limited() -> None:
-    assert run_virtual(_limited(501)) == pytest.approx(1000)
+    assert run_virtual(_write_at_limited_rate(501)) == pytest.approx(1000)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Recorded decision traces, replayed against their stated outcomes."""
+"""Replays of decision traces that must give the outcomes of the entry."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -23,13 +23,13 @@
 
 def _replay(name: str) -> tuple[int, str]:
     trace = str(TRACES / f'{name}.jsonl')
-    stated = str(TRACES / f'{name}.outcomes.jsonl')
-    result = CliRunner().invoke(replay, [trace, '--expect', stated])
+    expected = str(TRACES / f'{name}.outcomes.jsonl')
+    result = CliRunner().invoke(replay, [trace, '--expect', expected])
     return result.exit_code, result.output
 
 
 @pytest.mark.parametrize('name', NAMES)
-def test_recorded_trace_ends_as_stated(name: str) -> None:
+def test_recorded_trace_gives_the_expected_outcomes(name: str) -> None:
     assert _replay(name) == (0, '')
 
 
@@ -40,7 +40,7 @@
     )
 
 
-def test_another_decision_is_a_difference(
+def test_changed_decision_is_reported_as_a_difference(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Generation, '_append', _append_without_offset)
@@ -49,11 +49,13 @@
     assert 'stated' in output
 
 
-def test_missing_generation_is_a_difference(tmp_path: Path) -> None:
-    stated = tmp_path / 'none.jsonl'
-    stated.write_text('')
+def test_generation_without_expected_outcome_is_a_difference(
+    tmp_path: Path,
+) -> None:
+    expected = tmp_path / 'none.jsonl'
+    expected.write_text('')
     trace = str(TRACES / 'engine-death.jsonl')
-    result = CliRunner().invoke(replay, [trace, '--expect', str(stated)])
+    result = CliRunner().invoke(replay, [trace, '--expect', str(expected)])
     assert result.exit_code == 1
     assert 'stated None' in result.output
 
@@ -62,7 +64,7 @@
     'body',
     [b'', b'{"event":"header","version":99}\n', b'{"event":"other"}\n'],
 )
-def test_unknown_form_is_an_error(body: bytes) -> None:
+def test_trace_of_an_unknown_format_is_an_error(body: bytes) -> None:
     with pytest.raises(DecodeError):
         replay_trace(body)
 
@@ -73,8 +75,8 @@
 
 
 def _all_die(deployment: SmallDeployment, node: AgentNode) -> None:
-    for one in deployment.agents:
-        _host_dies(one)
+    for agent in deployment.agents:
+        _host_dies(agent)
 
 
 def _one_engine_dies(_: SmallDeployment, node: AgentNode) -> None:
@@ -113,7 +115,7 @@
             live.consumed_tokens = live.generation.offset
             await live.wait_change()
     await deployment.clock.sleep_ms(100)
-    ends = {
+    recorded = {
         live.generation.spec.generation: (
             str(live.generation.state),
             live.generation.offset,
@@ -122,7 +124,7 @@
         )
         for live in lives
     }
-    return b''.join(lines), ends
+    return b''.join(lines), recorded
 
 
 @pytest.mark.parametrize('fault', [_one_engine_dies, _one_host_dies, _all_die])
@@ -132,10 +134,15 @@
     jitter_ms: float,
 ) -> None:
     network = MemoryNetwork(jitter_ms=jitter_ms, duplication=0.2, seed=3)
-    trace, ends = run_virtual(_record(fault, network))
-    decided = {
-        one.generation: (one.state, one.tokens, one.attempts, one.ran)
-        for one in replay_trace(trace)
+    trace, recorded = run_virtual(_record(fault, network))
+    replayed = {
+        outcome.generation: (
+            outcome.state,
+            outcome.tokens,
+            outcome.attempts,
+            outcome.ran,
+        )
+        for outcome in replay_trace(trace)
     }
-    assert decided == ends
+    assert replayed == recorded
     assert b'melt' not in trace
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -31,7 +31,7 @@
 )
 
 
-async def _client(limits: StoreLimits = _LIMITS) -> StoreClient:
+async def _make_client(limits: StoreLimits = _LIMITS) -> StoreClient:
     clock = Clock.from_loop(asyncio.get_running_loop())
     platform = MemoryPlatform(clock)
     return StoreClient(
@@ -42,11 +42,11 @@
     )
 
 
-def _faults(client: StoreClient, **faults: float) -> None:
+def _set_faults(client: StoreClient, **faults: float) -> None:
     client.inner_table.platform.faults = PlatformFaults(**faults)
 
 
-async def _elapsed(access: Coroutine[Any, Any, Any]) -> float:
+async def _time_to_failure(access: Coroutine[Any, Any, Any]) -> float:
     clock = Clock.from_loop(asyncio.get_running_loop())
     started_ms = clock.now_ms()
     with pytest.raises(StoreUnavailableError):
@@ -54,36 +54,36 @@
     return clock.now_ms() - started_ms
 
 
-async def _slow() -> None:
-    client = await _client()
+async def _write_to_slow_store() -> None:
+    client = await _make_client()
     table = client.table(StoreUse.CALLS)
-    _faults(client, delay_ms=60_000)
+    _set_faults(client, delay_ms=60_000)
     for _ in range(3):
-        elapsed_ms = await _elapsed(table.write('a', b'', expected=0))
+        elapsed_ms = await _time_to_failure(table.write('a', b'', expected=0))
         assert elapsed_ms == pytest.approx(200)
     with pytest.raises(StoreNotAskedError, match='circuit is open'):
         await table.write('a', b'', expected=0)
 
 
-def test_slow_store_costs_a_deadline_and_then_nothing() -> None:
-    run_virtual(_slow())
+def test_slow_store_opens_the_circuit_after_three_timeouts() -> None:
+    run_virtual(_write_to_slow_store())
 
 
-async def _hour_down() -> tuple[int, float]:
-    client = await _client()
+async def _read_during_an_outage() -> tuple[int, float]:
+    client = await _make_client()
     clock = client.guard.clock
     table = client.table(StoreUse.CALLS)
-    _faults(client, down=True)
+    _set_faults(client, down=True)
     for _ in range(3600):
         with pytest.raises(StoreUnavailableError):
             await table.read('a')
         await clock.sleep_ms(1000)
-    asked = client.inner_table.platform.reads
-    _faults(client)
+    reads = client.inner_table.platform.reads
+    _set_faults(client)
     started_ms = clock.now_ms()
     while await _is_unavailable(table):
         await clock.sleep_ms(100)
-    return asked, clock.now_ms() - started_ms
+    return reads, clock.now_ms() - started_ms
 
 
 async def _is_unavailable(table: Any) -> bool:
@@ -94,14 +94,14 @@
     return False
 
 
-def test_store_that_is_down_is_rarely_asked_and_soon_used_again() -> None:
-    asked, recovery_ms = run_virtual(_hour_down())
-    assert asked < 3600 / 2
+def test_failed_store_gets_few_reads_and_is_used_soon_after_recovery() -> None:
+    reads, recovery_ms = run_virtual(_read_during_an_outage())
+    assert reads < 3600 / 2
     assert recovery_ms <= 5000
 
 
 async def _audit_behind_calls() -> None:
-    client = await _client()
+    client = await _make_client()
     calls = client.table(StoreUse.CALLS)
     audit = client.object_store(StoreUse.AUDIT)
     clock = client.guard.clock
@@ -117,12 +117,12 @@
         await audit.put('audit/51', b'')
 
 
-def test_audit_leaves_half_of_the_rate_share_to_calls() -> None:
+def test_audit_leaves_half_of_the_rate_limit_to_calls() -> None:
     run_virtual(_audit_behind_calls())
 
 
 async def _write_rate() -> float:
-    client = await _client()
+    client = await _make_client()
     table = client.table(StoreUse.CALLS)
     written = 0
     clock = client.guard.clock
@@ -136,15 +136,15 @@
     return written / 60
 
 
-def test_writes_stay_within_the_rate_share() -> None:
+def test_writes_stay_within_the_rate_limit() -> None:
     burst_per_s = _LIMITS.writes_per_s * 10 / 60
     assert run_virtual(_write_rate()) <= _LIMITS.writes_per_s + burst_per_s + 1
 
 
 async def _lost_write() -> None:
-    client = await _client()
+    client = await _make_client()
     table = client.table(StoreUse.CALLS)
-    _faults(client, lost_answers=1)
+    _set_faults(client, lost_answers=1)
     with pytest.raises(StoreUnavailableError) as caught:
         await table.write('a', b'1', expected=0)
     assert not isinstance(caught.value, StoreNotAskedError)
@@ -153,15 +153,15 @@
         await table.write('a', b'2', expected=0)
 
 
-def test_unanswered_write_is_not_repeated() -> None:
+def test_unanswered_write_is_not_retried() -> None:
     run_virtual(_lost_write())
 
 
 async def _read_retry() -> None:
-    client = await _client()
+    client = await _make_client()
     table = client.table(StoreUse.CALLS)
     platform = client.inner_table.platform
-    _faults(client, down=True)
+    _set_faults(client, down=True)
     restore = asyncio.ensure_future(_restore_after(client, 20))
     assert await table.read('a') is None
     await restore
@@ -170,23 +170,23 @@
 
 async def _restore_after(client: StoreClient, duration_ms: float) -> None:
     await client.guard.clock.sleep_ms(duration_ms)
-    _faults(client)
+    _set_faults(client)
 
 
-def test_read_is_repeated_after_a_short_outage() -> None:
+def test_read_is_retried_in_a_short_outage() -> None:
     run_virtual(_read_retry())
 
 
-async def _crowd() -> int:
-    client = await _client()
-    _faults(client, delay_ms=150)
+async def _read_concurrently() -> int:
+    client = await _make_client()
+    _set_faults(client, delay_ms=150)
     table = client.table(StoreUse.CALLS)
     answers = await asyncio.gather(
         *(table.read('a') for _ in range(100)),
         return_exceptions=True,
     )
-    return sum(isinstance(one, StoreNotAskedError) for one in answers)
+    return sum(isinstance(answer, StoreNotAskedError) for answer in answers)
 
 
-def test_concurrent_accesses_are_bounded() -> None:
-    assert run_virtual(_crowd()) == 92
+def test_concurrent_accesses_above_the_limit_are_rejected() -> None:
+    assert run_virtual(_read_concurrently()) == 92
--- a/tests/test_virtual_loop.py
+++ b/tests/test_virtual_loop.py
@@ -17,6 +17,6 @@
     assert run_virtual(_sleep_for(3_600_000)) == pytest.approx(3_600_000)
 
 
-def test_waiting_for_nothing_is_reported() -> None:
+def test_wait_without_a_timer_is_reported_as_deadlock() -> None:
     with pytest.raises(DeadlockError):
         run_virtual(asyncio.Event().wait())
