--- a/benchmarks/ack_traffic.py
+++ b/benchmarks/ack_traffic.py
@@ -1,4 +1,7 @@
-"""Acknowledgements that an entry sends: `python -m benchmarks.ack_traffic`."""
+"""Bytes of acknowledgements that an entry sends to its agents.
+
+Run ``python -m benchmarks.ack_traffic``.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 async def measure(streams: int, agents: int) -> float:
-    """Return the bytes that an entry sends to agents in a second."""
+    """Return the bytes per second that an entry sends to agents."""
     deployment = SmallDeployment(
         agent_count=agents,
         speed=EngineSpeed(token_interval_ms=TOKEN_INTERVAL_MS),
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,4 +1,4 @@
-"""Placements and a gate to compare the product's with."""
+"""Baseline placements and a baseline gate that the product is compared to."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class Baseline(Placement):
-    """Common part: knows all agents, avoids lost and excluded ones."""
+    """Base class: knows all agents; avoids lost and excluded ones."""
 
     clock: Clock
     agents: tuple[str, ...]
@@ -37,34 +37,36 @@
         self.load_view = LoadView(self.clock)
 
     def eligible(self, request: PlacementRequest) -> list[str]:
-        """Return agents that are neither lost nor excluded."""
-        live = [one for one in self.agents if one not in self.lost]
-        return [one for one in live if one not in request.excluded] or live
+        """Return agents neither lost nor excluded; if none, those not lost."""
+        live = [agent for agent in self.agents if agent not in self.lost]
+        return [
+            agent for agent in live if agent not in request.excluded
+        ] or live
 
     def count(self, agent: str) -> float:
-        """Return the attempts at an agent, as reported and as sent."""
+        """Return an agent's attempts: reported ones and later dispatches."""
         load = self.load_view.estimate(agent)
         return load.running + load.queued
 
     def kv_tokens(self, agent: str) -> float:
-        """Return the cache tokens at an agent, as reported and as sent."""
+        """Return the KV cache tokens: reported ones and later dispatches."""
         return self.load_view.estimate(agent).kv_tokens
 
     def failure_domain(self, agent: str) -> str:
-        """Return nothing, since the domains are not known."""
+        """Return the empty string; baselines do not know failure domains."""
         return ''
 
     def publish(self, published: PublishedVersion) -> None:
-        """Take the agents of a newer version."""
+        """Replace the agents by those of a newer version."""
         self.agents = tuple(published.upstreams_by_agent)
 
     def record_load(self, agent: str, load: LoadReport) -> None:
-        """Take in a load report that arrived now."""
+        """Record a load report received now."""
         self.lost.discard(agent)
         self.load_view.record_report(agent, load)
 
     def record_dispatch(self, agent: str, request: PlacementRequest) -> None:
-        """Count an attempt that was sent to `agent`."""
+        """Add a dispatched attempt to the load of `agent`."""
         tokens = request.prompt_tokens + request.accepted_tokens
         self.load_view.record_dispatch(
             agent,
@@ -74,18 +76,18 @@
         )
 
     def record_end(self, agent: str, request: PlacementRequest) -> None:
-        """Uncount an attempt that ended at `agent`."""
+        """Remove an ended attempt from the load of `agent`."""
         self.load_view.record_end(agent, request.generation)
 
     def record_loss(self, agent: str) -> None:
-        """Avoid an agent until it is heard from again."""
+        """Avoid an agent until its next load report."""
         self.lost.add(agent)
         self.load_view.remove(agent)
 
 
 @dataclass
 class RandomChoice(Baseline):
-    """Any agent with the same probability."""
+    """Chooses among all agents with equal probability."""
 
     def choose(self, request: PlacementRequest) -> str:
         """Return a random agent."""
@@ -94,7 +96,7 @@
 
 @dataclass
 class RoundRobin(Baseline):
-    """All agents in turn."""
+    """Chooses all agents in turn."""
 
     position: int = 0
 
@@ -107,7 +109,7 @@
 
 @dataclass
 class LeastCount(Baseline):
-    """The agent with the fewest attempts, of all."""
+    """Chooses the agent with the fewest attempts."""
 
     def choose(self, request: PlacementRequest) -> str:
         """Return the agent with the fewest attempts."""
@@ -116,10 +118,10 @@
 
 @dataclass
 class PowerOfTwo(Baseline):
-    """The one with fewer attempts of two random agents."""
+    """Chooses the agent with fewer attempts out of two random ones."""
 
     def choose(self, request: PlacementRequest) -> str:
-        """Return the less loaded of two."""
+        """Return the agent with fewer attempts out of two random ones."""
         agents = self.eligible(request)
         pair = self.draw.sample(agents, min(2, len(agents)))
         return min(pair, key=self.count)
@@ -127,23 +129,23 @@
 
 @dataclass
 class SizeAware(Baseline):
-    """The agent with the fewest cache tokens in use, of all.
+    """Chooses the agent with the fewest KV cache tokens in use.
 
-    Equal use of capacity rather than equal counts is the idea of Equilibrium
-    (Jelten, Wollek, Frank, Lasser).
+    Balancing the used capacity instead of counts follows Equilibrium (Jelten,
+    Wollek, Frank, Lasser).
     """
 
     def choose(self, request: PlacementRequest) -> str:
-        """Return the agent with the emptiest cache."""
+        """Return the agent with the fewest KV cache tokens."""
         return min(self.eligible(request), key=self.kv_tokens)
 
 
 @dataclass
 class SizeAwareOfTwo(Baseline):
-    """The one with fewer cache tokens of two random agents."""
+    """Chooses the agent with fewer KV cache tokens out of two random ones."""
 
     def choose(self, request: PlacementRequest) -> str:
-        """Return the emptier of two."""
+        """Return the agent with fewer KV cache tokens of two random ones."""
         agents = self.eligible(request)
         pair = self.draw.sample(agents, min(2, len(agents)))
         return min(pair, key=self.kv_tokens)
@@ -151,53 +153,58 @@
 
 @dataclass
 class PrefixAffine(Baseline):
-    """The agent that caches the longest prefix, within a load bound.
+    """Chooses the agent that caches the longest prefix, within a load bound.
 
-    Where it has more than `LOAD_BOUND` times the mean count, or none caches
-    any, the less loaded of two is taken.
+    If all such agents exceed `LOAD_BOUND` times the mean number of attempts by
+    more than one, or no agent caches a prefix, it chooses the agent with fewer
+    attempts out of two random ones.
     """
 
     prefix_view: PrefixView = field(default_factory=PrefixView)
     sent: Counter[str] = field(default_factory=Counter)
 
     def choose(self, request: PlacementRequest) -> str:
-        """Return the holder of the longest prefix unless it is too busy."""
+        """Return an agent that caches the longest prefix, or a fallback."""
         agents = self.eligible(request)
-        mean = sum(self.count(one) for one in agents) / len(agents)
+        mean = sum(self.count(agent) for agent in agents) / len(agents)
         holders = self.prefix_view.longest_prefix_agents(request.prefix_hashes)
-        free = [one for one in agents if one in holders]
-        free = [one for one in free if self.count(one) <= LOAD_BOUND * mean + 1]
-        if free:
-            return min(free, key=self.count)
+        candidates = [agent for agent in agents if agent in holders]
+        candidates = [
+            agent
+            for agent in candidates
+            if self.count(agent) <= LOAD_BOUND * mean + 1
+        ]
+        if candidates:
+            return min(candidates, key=self.count)
         pair = self.draw.sample(agents, min(2, len(agents)))
         return min(pair, key=self.count)
 
     def record_load(self, agent: str, load: LoadReport) -> None:
-        """Take in a load report that arrived now."""
+        """Record a load report received now."""
         super().record_load(agent, load)
         self.prefix_view.limit_to_cache(agent, load.kv_capacity)
         self.prefix_view.record(agent, load.cached_prefixes)
 
     def record_dispatch(self, agent: str, request: PlacementRequest) -> None:
-        """Count an attempt and the prefix that it leaves in the cache."""
+        """Record an attempt and the prefix that it adds to the cache."""
         super().record_dispatch(agent, request)
         self.prefix_view.record(agent, request.prefix_hashes)
 
     def record_loss(self, agent: str) -> None:
-        """Avoid an agent and forget its cache."""
+        """Avoid an agent and remove its cached prefixes."""
         super().record_loss(agent)
         self.prefix_view.remove(agent)
 
 
 class UnboundedPrefixView(PrefixView):
-    """View that ignores how much an engine can cache."""
+    """Prefix view that ignores the cache capacity of an engine."""
 
     def limit_to_cache(self, agent: str, kv_capacity: int) -> None:
-        """Keep the fixed bound."""
+        """Keep the default bound."""
 
 
 def unbounded_gate(clock: Clock, rules: GateRules) -> AdmissionGate:
-    """Return a gate that queues everything and bounds only the slots."""
+    """Return a gate that limits only running attempts and queues the rest."""
     limits = GateLimits(
         max_running=MAX_RUNNING,
         kv_capacity=KV_CAPACITY,
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,8 @@
-"""Measures slopes and writes the tables of docs/CAPACITY.md.
+"""Measure slopes and write the tables of docs/CAPACITY.md.
 
-Run ``python -m benchmarks.capacity [--write]``. Other modules add rows by
-`benchmarks.capacity_rows.register_rows`; those named here are imported.
+Run ``python -m benchmarks.capacity [--write]``. The modules in
+`ROW_MODULES` are imported; they add rows by
+`benchmarks.capacity_rows.register_rows`.
 """
 
 from __future__ import annotations
@@ -49,7 +50,10 @@
 
 
 def load_rows() -> list[CapacityRow]:
-    """Return the rows of all modules that are there, and the open ones."""
+    """Return the rows of all modules, and the rows not measured yet.
+
+    Modules of `ROW_MODULES` that do not exist are skipped.
+    """
     for name in ROW_MODULES:
         try:
             importlib.import_module(name)
@@ -65,7 +69,7 @@
 
 
 def format_tables(rows: Sequence[CapacityRow]) -> str:
-    """Return the tables of all roles, and of the sums, as Markdown."""
+    """Return all tables as Markdown: roles, sums and points of the fits."""
     parts = [_format_role(role, rows) for role in Role]
     parts.append(_format_first(rows))
     parts.append(_format_sums(rows))
@@ -74,8 +78,8 @@
 
 
 def _format_role(role: Role, rows: Sequence[CapacityRow]) -> str:
-    own = [row for row in rows if row.role is role]
-    if not own:
+    role_rows = [row for row in rows if row.role is role]
+    if not role_rows:
         return ''
     lines = [
         f'### {role.value[0].upper()}{role.value[1:]}',
@@ -83,7 +87,7 @@
         '| figure | unit | at full size | how | limit reached at '
         '| carried by |',
         '| --- | --- | --- | --- | --- | --- |',
-        *(_format_row(row) for row in own),
+        *(_format_row(row) for row in role_rows),
         '',
     ]
     return '\n'.join(lines)
@@ -142,7 +146,7 @@
         and row.value > 0
         and not row.carried_by.startswith(UNUSED)
     ]
-    limited.sort(key=lambda one: one[0])
+    limited.sort(key=lambda pair: pair[0])
     lines = [
         '### What breaks first',
         '',
@@ -224,14 +228,14 @@
 
 
 def replace_tables(page: str, tables: str) -> str:
-    """Return the page with its generated part replaced."""
+    """Return the page with the text between the markers replaced."""
     before, _, rest = page.partition(BEGIN)
     _, _, after = rest.partition(END)
     return f'{before}{BEGIN}\n\n{tables}\n{END}{after}'
 
 
 def main() -> None:
-    """Print the tables, and write them into the page if told to."""
+    """Print the tables; with `--write`, also write them into the page."""
     tables = format_tables(load_rows())
     if '--write' in sys.argv[1:]:
         PAGE.write_text(replace_tables(PAGE.read_text(), tables))
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -1,4 +1,4 @@
-"""Slopes of the control mechanisms, for docs/CAPACITY.md."""
+"""Capacity rows of the control mechanisms, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def cpu_us(action: Callable[[], Any]) -> float:
-    """Return the least processor time of a few runs, in microseconds."""
+    """Return the least CPU time of `REPEATS` runs, in microseconds."""
     least = float('inf')
     for _ in range(REPEATS):
         began_s = time.process_time()
@@ -84,14 +84,14 @@
 
 
 def memory_bytes(make: Callable[[], Any]) -> float:
-    """Return the memory that the object which `make` returns holds."""
+    """Return the memory held by the object that `make` returns."""
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    made = make()
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del made
     return held
 
 
@@ -106,11 +106,11 @@
     for number in range(size):
         cluster.add(number)
     await cluster.clock.sleep_ms(SETTLE_MS)
-    began = sum(cluster.network.bytes_by_sender.values())
+    sent_before = sum(cluster.network.bytes_by_sender.values())
     began_s = time.process_time()
     await cluster.clock.sleep_ms(STEADY_MS)
     spent_us = (time.process_time() - began_s) * 1_000_000
-    sent = sum(cluster.network.bytes_by_sender.values()) - began
+    sent = sum(cluster.network.bytes_by_sender.values()) - sent_before
     cluster.close()
     member_s = size * STEADY_MS / 1000
     return sent / member_s, spent_us / member_s
@@ -118,15 +118,17 @@
 
 @register_rows
 def membership_rows() -> Sequence[CapacityRow]:
-    """Return bytes, processor time and memory of the membership."""
+    """Return bytes, CPU time and memory of the membership protocol."""
     steady = {size: run_virtual(_steady(size)) for size in MEMBER_SIZES}
-    sent = tuple((size, figures[0]) for size, figures in steady.items())
-    spent = tuple((size, figures[1]) for size, figures in steady.items())
+    byte_points = tuple((size, figures[0]) for size, figures in steady.items())
+    cpu_points = tuple((size, figures[1]) for size, figures in steady.items())
     name = 'membership, 10% loss'
     carried_by = 'probes and piggybacked changes within a byte budget'
     return [
-        _entry(name, Budget.MESSAGES, 'member', ENTRIES, sent, carried_by),
-        _entry(name, Budget.CPU, 'member', ENTRIES, spent, carried_by),
+        _entry(
+            name, Budget.MESSAGES, 'member', ENTRIES, byte_points, carried_by
+        ),
+        _entry(name, Budget.CPU, 'member', ENTRIES, cpu_points, carried_by),
         _entry(
             'membership table',
             Budget.MEMORY,
@@ -176,7 +178,7 @@
 
 @register_rows
 def subset_rows() -> Sequence[CapacityRow]:
-    """Return the processor time of the subsets of one entry."""
+    """Return the CPU time of subset selection at one entry."""
     return [
         MeasuredRow(
             role=Role.ENTRY,
@@ -205,17 +207,19 @@
 
 @register_rows
 def share_rows() -> Sequence[CapacityRow]:
-    """Return bytes, processor time and memory of teams' limits."""
+    """Return bytes, CPU time and memory of the teams' limits."""
     figures = {size: measure_shares(size, 1000) for size in SHARE_SIZES}
-    sent = tuple((size, one.mean_rate) for size, one in figures.items())
-    spent = tuple(
-        (size, one.cpu_us_per_entry_s) for size, one in figures.items()
+    byte_points = tuple((size, row.mean_rate) for size, row in figures.items())
+    cpu_points = tuple(
+        (size, row.cpu_us_per_entry_s) for size, row in figures.items()
     )
     name = 'shares of teams, 20 large ones over their limits'
     carried_by = 'leased shares, coalesced by home entry, byte budget'
     return [
-        _entry(name, Budget.MESSAGES, 'entry', ENTRIES, sent, carried_by),
-        _entry(name, Budget.CPU, 'entry', ENTRIES, spent, carried_by),
+        _entry(
+            name, Budget.MESSAGES, 'entry', ENTRIES, byte_points, carried_by
+        ),
+        _entry(name, Budget.CPU, 'entry', ENTRIES, cpu_points, carried_by),
         _entry(
             'use of teams with requests at the entry',
             Budget.MEMORY,
@@ -277,7 +281,7 @@
 
 @register_rows
 def version_rows() -> Sequence[CapacityRow]:
-    """Return what one published version costs an entry."""
+    """Return the costs of one published version at an entry."""
     carried_by = 'whole set indexed once for each version'
     return [
         _entry(
@@ -341,7 +345,7 @@
 
 @register_rows
 def order_rows() -> Sequence[CapacityRow]:
-    """Return what the lease holder of a region costs."""
+    """Return the costs of orders at the lease holder of a region."""
     order = Order('r0/1/1', 1, 'load', Pin('model', '1'), 'r0', 1)
     order_bytes = len(msgspec.msgpack.encode(order))
     return [
@@ -377,7 +381,7 @@
 
 @register_rows
 def cli_rows() -> Sequence[CapacityRow]:
-    """Return what the command line costs an operator."""
+    """Return the CPU time of a drain command."""
     points = _over(STOP_SIZES, _stops_cpu)
     return [
         MeasuredRow(
@@ -399,7 +403,7 @@
 
 @register_rows
 def agent_rows() -> Sequence[CapacityRow]:
-    """Return what orders and drains cost an agent."""
+    """Return the costs of orders and drains at the agents."""
     return [
         ComputedRow(
             Role.AGENT,
@@ -427,7 +431,7 @@
 
 @register_rows
 def store_rows() -> Sequence[CapacityRow]:
-    """Return reads and writes of the platform's services by source."""
+    """Return the reads and writes of the platform's services by purpose."""
     readers = HOST_READERS_PER_REGION * REGIONS
     others = (ENTRIES - readers) / 10
     lease_reads = LEASE_CANDIDATES * REGIONS * LEASE_STEPS_PER_S
@@ -481,7 +485,7 @@
 
 @register_rows
 def fault_rows() -> Sequence[CapacityRow]:
-    """Return what losses cost, computed from the stated size."""
+    """Return the effects of losses, computed from the full size."""
     streams = TOKENS_PER_S * TOKEN_INTERVAL_MS / 1000
     per_upstream = streams / UPSTREAMS
     domain_upstreams = UPSTREAMS / FAILURE_DOMAINS
--- a/benchmarks/capacity_data_path.py
+++ b/benchmarks/capacity_data_path.py
@@ -1,4 +1,4 @@
-"""Rows of the data path, from the committed results of its benchmarks."""
+"""Capacity rows of the data path, from committed benchmark results."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @register_rows
 def rows() -> tuple[CapacityRow, ...]:
-    """Return the rows; none where the results are not there."""
+    """Return the rows; results that do not exist give no rows."""
     return (*_entry_rows(), *_core_rows(), *_agent_rows())
 
 
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -1,4 +1,4 @@
-"""Rows of docs/CAPACITY.md: fitted slopes and computed figures."""
+"""Row types of docs/CAPACITY.md: measured slopes and computed figures."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Role(enum.StrEnum):
-    """Role that a row belongs to, in the order of the page."""
+    """Section of a row, in the order of the page."""
 
     ENTRY = 'entry'
     AGENT = 'agent'
@@ -38,7 +38,7 @@
 
 
 class Budget(enum.StrEnum):
-    """Budget of a node that a figure is held against."""
+    """Budget that a figure is compared with, with its unit."""
 
     CPU = 'CPU, us/s'
     MEMORY = 'memory, bytes'
@@ -58,13 +58,13 @@
 
 
 def limit_of(budget: Budget) -> float | None:
-    """Return the limit of a budget."""
+    """Return the limit of a budget, None if it has no limit."""
     return _LIMIT_BY_BUDGET.get(budget)
 
 
 @dataclass(frozen=True)
 class Fit:
-    """Least squares line; `deviation` is the worst residual in percent."""
+    """Least squares line; `deviation` is the worst residual, % of the mean."""
 
     intercept: float
     slope: float
@@ -88,16 +88,16 @@
         return cls(intercept, slope, 100 * worst / max(mean_y, 1e-9))
 
     def at(self, count: float) -> float:
-        """Return the value of the line at a count."""
+        """Return the value of the line at a count, at least 0."""
         return max(0, self.intercept + self.slope * count)
 
 
 @dataclass(frozen=True)
 class MeasuredRow:
-    """Figure from a slope that was measured at four sizes or more.
+    """Figure extrapolated from measurements at four sizes or more.
 
-    `factor` turns the value of one event into a rate, such as events per
-    second; `at_count` is the count of the full size.
+    `factor` converts the cost of one event to a rate, for instance by events
+    per second; `at_count` is the count at the full size.
     """
 
     role: Role
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True)
 class ComputedRow:
-    """Figure that can't be measured here, with its inputs."""
+    """Figure that is computed from stated inputs instead of measured."""
 
     role: Role
     figure: str
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True)
 class OpenRow:
-    """Figure that is still to be measured."""
+    """Figure that has not been measured yet."""
 
     role: Role
     figure: str
@@ -149,6 +149,6 @@
 
 
 def register_rows(source: RowSource) -> RowSource:
-    """Add a function that returns rows; usable as a decorator."""
+    """Register a function that returns rows; usable as a decorator."""
     ROW_SOURCES.append(source)
     return source
--- a/benchmarks/capacity_store.py
+++ b/benchmarks/capacity_store.py
@@ -1,7 +1,7 @@
-"""Rows of the store and of publication, from the runs of other benchmarks.
+"""Capacity rows of the store and of publication, from other benchmarks.
 
-Each figure names the command that measured it; those of the design pages are
-restated here so that the capacity page sums them.
+Each row names the command that measured it. Figures of the design pages are
+repeated here so that the capacity page can add them up.
 """
 
 from __future__ import annotations
--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -1,7 +1,7 @@
-"""Measures what relaying costs an entry process, over real sockets.
+"""Measure the cost of relaying in an entry process, over real sockets.
 
 Run ``python -m benchmarks.data_path [--streams N --tokens-per-s N]``; with
-``--sizes`` it measures the slopes and writes `benchmarks/results`.
+``--sizes`` it measures all sizes and writes `RESULTS`.
 """
 
 from __future__ import annotations
@@ -52,20 +52,20 @@
 
     @classmethod
     def from_counts(cls, parts: list[dict[int, int]]) -> Percentiles:
-        """Return those of all counts by `UNIT_US`."""
+        """Merge counts by multiples of `UNIT_US`; return their percentiles."""
         histogram = HdrHistogram(1, MAX_US, 3)
         for counts in parts:
             for units, count in counts.items():
                 histogram.record_value(max(1, units * UNIT_US), count)
         at = histogram.get_value_at_percentile
-        return cls(*(round(at(one) / 1000, 2) for one in PERCENTILES))
+        return cls(*(round(at(percent) / 1000, 2) for percent in PERCENTILES))
 
 
 class EntryFigures(msgspec.Struct, frozen=True):
-    """One run: what the entry used and what its callers saw.
+    """Figures of one run, from the entry, the load processes and the callers.
 
-    `agent_bytes` is the mean size of agent to entry output for a token,
-    `caller_bytes` that of entry to caller.
+    `agent_bytes` is the mean number of bytes per token from agent to entry,
+    `caller_bytes` that from entry to caller.
     """
 
     streams: int
@@ -84,17 +84,17 @@
 
     @property
     def tokens_per_cpu_s(self) -> float:
-        """Return tokens relayed per CPU second of the entry."""
+        """Return tokens relayed per CPU second of the entry process."""
         return self.tokens / self.cpu_s
 
     @property
     def us_per_event(self) -> float:
-        """Return CPU microseconds for one event."""
+        """Return CPU microseconds of the entry per event."""
         return self.cpu_s * 1e6 / self.events
 
 
 class Results(msgspec.Struct, frozen=True):
-    """What the last run with `--sizes` measured."""
+    """Figures of the last run with `--sizes`."""
 
     runs: tuple[EntryFigures, ...] = ()
 
@@ -153,28 +153,34 @@
         for caller in callers:
             await caller.read_line()
         cpu_s, rss_mb = await _watch(entry, callers, seconds)
-        seen = [
-            msgspec.json.decode(await one.read_line(), type=CallerFigures)
-            for one in callers
+        caller_figures = [
+            msgspec.json.decode(await child.read_line(), type=CallerFigures)
+            for child in callers
         ]
         counts = await _end_loads(loads)
-    sent = sum(one.tokens for one in counts)
-    tokens = sum(one.tokens for one in seen)
+    sent = sum(load_counts.tokens for load_counts in counts)
+    tokens = sum(seen.tokens for seen in caller_figures)
     return EntryFigures(
         streams=streams,
         offered_tokens_per_s=tokens_per_s,
         seconds=seconds,
         cpu_s=cpu_s,
         rss_mb=rss_mb,
-        agent_bytes=sum(one.batch_bytes for one in counts) / sent,
-        frames_per_batch=sum(one.frames for one in counts)
-        / sum(one.batches for one in counts),
+        agent_bytes=sum(load_counts.batch_bytes for load_counts in counts)
+        / sent,
+        frames_per_batch=sum(load_counts.frames for load_counts in counts)
+        / sum(load_counts.batches for load_counts in counts),
         tokens=tokens,
-        events=sum(one.events for one in seen),
-        caller_bytes=sum(one.received_bytes for one in seen) / tokens,
-        disorder=sum(one.disorder for one in seen),
-        latency_ms=Percentiles.from_counts([one.latencies for one in seen]),
-        added_ms=Percentiles.from_counts([one.added for one in seen]),
+        events=sum(seen.events for seen in caller_figures),
+        caller_bytes=sum(seen.received_bytes for seen in caller_figures)
+        / tokens,
+        disorder=sum(seen.disorder for seen in caller_figures),
+        latency_ms=Percentiles.from_counts(
+            [seen.latencies for seen in caller_figures]
+        ),
+        added_ms=Percentiles.from_counts(
+            [seen.added for seen in caller_figures]
+        ),
     )
 
 
@@ -183,7 +189,7 @@
     callers: list[Child],
     seconds: float,
 ) -> tuple[float, float]:
-    """Return CPU seconds of the entry in the window, and its RSS after."""
+    """Return the entry's CPU seconds in the window, and its RSS in MB after."""
     process = psutil.Process(entry.pid)
     start_s = time.monotonic() + WARM_UP_S
     for caller in callers:
@@ -231,7 +237,7 @@
 
 
 def load_results() -> Results:
-    """Return the committed results, empty where there are none."""
+    """Return the committed results, or empty results if there are none."""
     if not RESULTS.exists():
         return Results()
     return msgspec.json.decode(RESULTS.read_bytes(), type=Results)
--- a/benchmarks/data_path_agent.py
+++ b/benchmarks/data_path_agent.py
@@ -1,8 +1,8 @@
-"""Measures what an agent process costs beside an engine over HTTP.
+"""Measure the cost of an agent process that uses an engine over HTTP.
 
-Run ``python -m benchmarks.data_path_agent``; ``--write`` keeps the results.
-The engine stand-in and the agent run as processes of their own; this process
-plays the entry.
+Run ``python -m benchmarks.data_path_agent``; ``--write`` saves the results.
+The engine stand-in and the agent run in separate processes; this process acts
+as the entry.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class AgentFigures(msgspec.Struct, frozen=True):
-    """One run: streams, tokens and batches a second, and what they used."""
+    """Throughput of one run, and the CPU and memory that the agent used."""
 
     streams: int
     tokens_per_s: float
@@ -59,14 +59,14 @@
 
 
 class AgentResults(msgspec.Struct, frozen=True):
-    """What the last run with `--write` measured."""
+    """Figures of the last run with `--write`."""
 
     runs: tuple[AgentFigures, ...] = ()
 
 
 @dataclass
 class EntryEnd:
-    """Takes output as an entry does and counts it."""
+    """Receives output in place of an entry and counts it."""
 
     tokens: int = 0
     batches: int = 0
@@ -74,7 +74,7 @@
     offsets: dict[str, int] = field(default_factory=dict)
 
     def on_message(self, envelope: Envelope) -> None:
-        """Take in a message of the agent."""
+        """Count an admission or the output of a batch."""
         match envelope.message:
             case Admitted():
                 self.admitted += 1
@@ -86,9 +86,12 @@
                     self.offsets[frame.generation] = offset
 
     def acks(self) -> Acks:
-        """Return what confirms all output so far."""
+        """Return acknowledgements of all output received so far."""
         return Acks(
-            tuple(Ack(one, 1, offset) for one, offset in self.offsets.items()),
+            tuple(
+                Ack(generation, 1, offset)
+                for generation, offset in self.offsets.items()
+            ),
         )
 
 
@@ -125,7 +128,10 @@
         stack.callback(acking.cancel)
         await asyncio.sleep(WARM_UP_S)
         if end.admitted < streams:
-            raise RuntimeError(f'{end.admitted} of {streams} streams started')
+            raise RuntimeError(
+                f'agent admitted {end.admitted} of {streams} streams, '
+                'expected all'
+            )
         process = psutil.Process(agent.pid)
         figures = await _watch(process, end, streams, seconds)
         for generation in end.offsets:
@@ -179,7 +185,7 @@
 
 
 def load_results() -> AgentResults:
-    """Return the committed results, empty where there are none."""
+    """Return the committed results, or empty results if there are none."""
     if not RESULTS.exists():
         return AgentResults()
     return msgspec.json.decode(RESULTS.read_bytes(), type=AgentResults)
--- a/benchmarks/data_path_caller.py
+++ b/benchmarks/data_path_caller.py
@@ -1,8 +1,8 @@
-"""Caller process: reads event streams over raw sockets and measures tokens.
+"""Caller process: reads event streams over raw sockets, measures latencies.
 
-Run by `benchmarks.data_path`. It prints `ready` when all streams give tokens,
-reads a window `start_s end_s` (monotonic clock) from standard input, and
-prints what it measured in it.
+Run by `benchmarks.data_path`. It prints `ready` when all streams have received
+tokens, reads a window `start_s end_s` (monotonic clock) from standard input,
+and prints the figures of that window.
 """
 
 from __future__ import annotations
@@ -28,12 +28,13 @@
 
 
 class CallerFigures(msgspec.Struct):
-    """What callers saw in the window.
+    """Figures of all callers of this process in the window.
 
-    `latencies` counts, by 10 microseconds, the time from a token's step at
-    the engine to its arrival; `added` how much longer the time between two
-    tokens was here than at the engine, 0 where it was shorter. `disorder`
-    counts tokens whose stamp is not later than that of the token before.
+    `latencies` counts, in units of 10 microseconds, the time from a token's
+    step at the engine to its arrival. `added` counts by how much the time
+    between two tokens at the caller exceeds that at the engine, 0 if it is
+    shorter. `disorder` counts tokens whose time stamp is not later than that
+    of the previous token.
     """
 
     tokens: int = 0
@@ -46,7 +47,7 @@
 
 @dataclass
 class Measures:
-    """Figures, and the window to which they are limited."""
+    """Figures, and the window in which they are counted."""
 
     start_s: float = float('inf')
     end_s: float = float('inf')
@@ -54,7 +55,7 @@
 
 
 class StreamReader(asyncio.Protocol):
-    """One caller: sends a request and takes in the events of its answer."""
+    """One caller: sends a request and measures the events of the response."""
 
     def __init__(self, request: bytes, measures: Measures) -> None:
         loop = asyncio.get_running_loop()
@@ -71,26 +72,26 @@
         transport.write(self._request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail a caller that has seen no token."""
+        """Fail the opening of a stream that has received no token."""
         if not self.opened.done():
             self.opened.set_exception(ConnectionError(repr(self._pending)))
 
     def data_received(self, chunk: bytes) -> None:
-        """Take in all whole events of a chunk."""
+        """Measure all complete events received so far."""
         now_us = stamp_us()
         if chunk.startswith(_REFUSED) and not self.opened.done():
             self.opened.set_result(False)
         measures = self._measures
         figures = measures.figures
-        counts = measures.start_s <= time.monotonic() < measures.end_s
-        if counts:
+        is_counted = measures.start_s <= time.monotonic() < measures.end_s
+        if is_counted:
             figures.received_bytes += len(chunk)
         events = (self._pending + chunk).split(b'\n\n')
         self._pending = events.pop()
         for event in events:
             match = _TEXT.search(event)
             if match is not None:
-                self._take(match[1].split(), now_us, counts=counts)
+                self._take(match[1].split(), now_us, counts=is_counted)
 
     def _take(
         self,
@@ -146,7 +147,7 @@
     request: bytes,
     measures: Measures,
 ) -> asyncio.Transport:
-    """Open a stream; after a refusal try again, as callers do."""
+    """Open a stream; retry after a refusal, as callers do."""
     loop = asyncio.get_running_loop()
     while True:
         transport, reader = await loop.create_connection(
--- a/benchmarks/data_path_load.py
+++ b/benchmarks/data_path_load.py
@@ -1,7 +1,7 @@
-"""Load process: agents over engines that stamp each token with its time.
+"""Load process: agents with engines that put the time into each token.
 
-Run by `benchmarks.data_path`. It prints the agents' addresses, one line, and
-at the end the tokens and bytes that it sent.
+Run by `benchmarks.data_path`. It prints the agents' addresses as one line, and
+after SIGTERM the counts of what it sent.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class LoadCounts(msgspec.Struct):
-    """What a load process sent to its entry."""
+    """Counts of output that a load process sent to the entry."""
 
     tokens: int = 0
     batches: int = 0
@@ -48,17 +48,17 @@
 
 
 def stamp_us() -> int:
-    """Return the time that a token carries, on the machine's clock."""
+    """Return the system's monotonic time in us, modulo `STAMP_MODULUS_US`."""
     return time.monotonic_ns() // 1000 % STAMP_MODULUS_US
 
 
 class StampingEngine(EngineClient):
-    """Emits one token for each sequence in each step, all at once.
+    """Engine that emits one token per sequence in each step.
 
-    A step takes `interval_ms`, as continuous batching does; a token is the
-    time of its step in microseconds, so that the reader knows its age. The
-    first step comes after `phase_ms`, since engines on different hosts do not
-    step together.
+    All tokens of a step are emitted at once, every `interval_ms`, as with
+    continuous batching. A token is the time of its step in microseconds, from
+    which the reader computes the latency. The first step comes after
+    `phase_ms`, since engines on different hosts are not synchronized.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._queues: dict[str, asyncio.Queue[EngineOutput]] = {}
 
     async def run(self) -> None:
-        """Step until cancelled, on a schedule without drift."""
+        """Step until cancelled; a late step does not delay later ones."""
         due_ms = self._clock.now_ms() + self._phase_ms
         while True:
             due_ms += self._interval_ms
@@ -86,7 +86,7 @@
         self,
         request: GenerateRequest,
     ) -> AsyncIterator[EngineOutput]:
-        """Yield stamped tokens until the reader closes the iterator."""
+        """Yield time-stamped tokens until the iterator is closed."""
         queue: asyncio.Queue[EngineOutput] = asyncio.Queue()
         self._queues[request.request_id] = queue
         try:
@@ -105,12 +105,12 @@
 
 
 class CountingTransport(ZmqTransport):
-    """Transport that counts the output that it sends."""
+    """Transport that counts the output batches that it sends."""
 
     counts: LoadCounts
 
     def send(self, peer: str, message: Message) -> None:
-        """Count a batch of output, then send it."""
+        """Count the message if it is an output batch, then send it."""
         if isinstance(message, OutputBatch):
             envelope = Envelope(self.address, self.incarnation, message)
             self.counts.batches += 1
@@ -148,7 +148,9 @@
             asyncio.create_task(engine.run()),
         ]
         transports.append(transport)
-    _print_line(msgspec.json.encode([one.address for one in transports]))
+    _print_line(
+        msgspec.json.encode([transport.address for transport in transports])
+    )
     stopped = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopped.set)
     await stopped.wait()
--- a/benchmarks/data_path_processes.py
+++ b/benchmarks/data_path_processes.py
@@ -1,4 +1,4 @@
-"""The processes of the data path's benchmarks, started on loopback."""
+"""Processes of the data path benchmarks, started on the loopback."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Child:
-    """A process that this one has started, and its standard streams."""
+    """Child process with piped standard input and output."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
@@ -43,7 +43,7 @@
 
     @classmethod
     async def start(cls, *arguments: str, profile: str = '') -> Child:
-        """Start `python -m arguments`, under cProfile where a file is named."""
+        """Start `python -m arguments`, under cProfile if `profile` is given."""
         profiler = ('-m', 'cProfile', '-o', profile) if profile else ()
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -57,26 +57,32 @@
         return cls(process)
 
     async def read_line(self) -> bytes:
-        """Return the next line of its output."""
+        """Return the next line of the output of the process.
+
+        Raises `RuntimeError` at the end of the output and `TimeoutError` if no
+        line arrives within 60 s.
+        """
         assert self.process.stdout is not None
         async with asyncio.timeout(60):
             line = await self.process.stdout.readline()
         if not line:
-            raise RuntimeError(f'process {self.pid} ended early')
+            raise RuntimeError(
+                f'process {self.pid} closed its output, expected a line'
+            )
         return line
 
     def write_line(self, line: str) -> None:
-        """Write a line to its input."""
+        """Write a line to the input of the process."""
         assert self.process.stdin is not None
         self.process.stdin.write(f'{line}\n'.encode())
 
     def terminate(self) -> None:
-        """Ask it to end."""
+        """Send SIGTERM, if the process still runs."""
         with contextlib.suppress(ProcessLookupError):
             self.process.terminate()
 
     async def stop(self) -> None:
-        """End it, by force after `STOP_TIMEOUT_S`."""
+        """Terminate the process; kill it after `STOP_TIMEOUT_S`."""
         self.terminate()
         try:
             await asyncio.wait_for(self.process.wait(), timeout=STOP_TIMEOUT_S)
@@ -87,7 +93,10 @@
 
 @contextlib.asynccontextmanager
 async def platform_with(agents: Sequence[str]) -> AsyncIterator[str]:
-    """Serve a platform with the agents published; yield its address."""
+    """Serve a platform with a version that lists the agents.
+
+    Yields the address of the platform.
+    """
     clock = Clock.from_system()
     async with serving_store(StoreStandIn(clock)) as address:
         settings = PlatformSettings(address, reads_per_s=50, writes_per_s=50)
@@ -104,7 +113,7 @@
 
 
 def _wide(objects: ObjectSet) -> ObjectSet:
-    """Return the objects with one team limit that no benchmark reaches."""
+    """Return the objects with team limits too high for a benchmark to reach."""
     teams = tuple(
         msgspec.structs.replace(team, requests_per_s=100_000)
         for team in objects.teams
@@ -117,7 +126,7 @@
     folder: pathlib.Path,
     profile: str = '',
 ) -> tuple[Child, int]:
-    """Start an entry; return it and its port for callers once it serves."""
+    """Start an entry; once it is ready, return it and its caller port."""
     port = free_port()
     place = PlaceSettings(free_address(), REGION, f'{REGION}-a')
     settings = EntrySettings(
@@ -146,7 +155,7 @@
     folder: pathlib.Path,
     profile: str = '',
 ) -> tuple[Child, str]:
-    """Start an agent beside an engine; return it and its address."""
+    """Start an agent for an engine; return the process and its address."""
     address = free_address()
     settings = AgentSettings(
         PlaceSettings(address, REGION, f'{REGION}-a'),
@@ -168,7 +177,7 @@
 
 
 async def start_engine(interval_ms: float) -> tuple[Child, str]:
-    """Start an engine stand-in; return it and its address."""
+    """Start an engine stand-in; once it is ready, return it and its address."""
     port = free_port()
     address = f'127.0.0.1:{port}'
     child = await Child.start(
@@ -203,5 +212,5 @@
 
 
 def settings_folder() -> tempfile.TemporaryDirectory[str]:
-    """Return a folder for settings files."""
+    """Return a temporary folder for settings files."""
     return tempfile.TemporaryDirectory(prefix='data-path-')
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -1,7 +1,7 @@
-"""False suspicions against the time to notice a loss, by detector limits.
+"""False suspicions and detection time of losses, by detector limits.
 
-Signs of life arrive at an even interval with jitter and with pauses of the
-peer now and then. The table is written to `docs/design/detection-figures.md`.
+Heartbeats arrive at a regular interval with jitter, interrupted by random
+pauses of the peer. The table is written to `docs/design/detection-figures.md`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Signal:
-    """Interval and jitter of the signs of life, and the longest pause."""
+    """Interval and jitter of heartbeats or tokens, and the longest pause."""
 
     interval_ms: float
     jitter_ms: float
@@ -40,19 +40,19 @@
 
 @dataclass(frozen=True)
 class Suspicions:
-    """False suspicions in an hour, and the wait before a true one."""
+    """False suspicions per hour, and the mean suspicion threshold."""
 
     per_hour: float
     threshold_ms: float
 
     @property
     def notice_ms(self) -> float:
-        """Return the time to a notice, from the mean threshold."""
+        """Return the mean time until a loss is detected."""
         return self.threshold_ms + WATCH_INTERVAL_MS
 
     @property
     def prefill_per_hour(self) -> float:
-        """Return the tokens that one generation is prefilled for nothing."""
+        """Return the tokens per generation prefilled for false suspicions."""
         return self.per_hour * RESUMED_PREFILL_TOKENS
 
 
@@ -62,7 +62,7 @@
     hours: float = 1,
     seed: int = 1,
 ) -> Suspicions:
-    """Feed a detector and count the silences in which it suspects the peer."""
+    """Simulate a live peer; count the silences in which it is suspected."""
     source = random.Random(seed)
     detector = SilenceDetector(limits, 0)
     now_ms = float(0)
@@ -97,18 +97,18 @@
             paused = replace(signal, pause_max_ms=pause_ms)
             for floor_ms in FLOORS_MS:
                 for deviations in DEVIATIONS:
-                    tried = replace(
+                    adjusted = replace(
                         limits, floor_ms=floor_ms, deviations=deviations
                     )
-                    yield _line(name, tried, paused)
+                    yield _line(name, adjusted, paused)
 
 
 def _line(name: str, limits: DetectorLimits, signal: Signal) -> str:
-    found = measure_suspicions(limits, signal)
+    suspicions = measure_suspicions(limits, signal)
     return (
         f'| {name} | {signal.pause_max_ms:.0f} | {limits.floor_ms:.0f} |'
-        f' {limits.deviations:.0f} | {found.per_hour:.0f} |'
-        f' {found.prefill_per_hour:.0f} | {found.notice_ms:.0f} |'
+        f' {limits.deviations:.0f} | {suspicions.per_hour:.0f} |'
+        f' {suspicions.prefill_per_hour:.0f} | {suspicions.notice_ms:.0f} |'
     )
 
 
@@ -125,7 +125,7 @@
 
 
 def main() -> None:
-    """Print the table and write it beside its page."""
+    """Print the table and write it to `FIGURES_FILE`."""
     text = '\n'.join((*_TITLE, *lines(), ''))
     print(text)  # noqa: T201, WPS421
     FIGURES_FILE.write_text(text)
--- a/benchmarks/drain_day.py
+++ b/benchmarks/drain_day.py
@@ -1,4 +1,4 @@
-"""Time that a day's planned stops take within the default limits.
+"""Duration of a drain plan for the stops of one day, with default limits.
 
 Run ``python -m benchmarks.drain_day``.
 """
@@ -32,7 +32,7 @@
 
 
 def make_version(upstream_count: int) -> PublishedVersion:
-    """Return a version with that many upstreams, spread evenly."""
+    """Return a version with upstreams spread evenly over failure domains."""
     domains = tuple(
         FailureDomain(f'd{number}', f'r{number % REGIONS}')
         for number in range(FAILURE_DOMAINS)
@@ -54,7 +54,7 @@
 
 
 def plan_day(upstream_count: int, stop_count: int) -> DrainPlan:
-    """Plan stops of upstreams drawn at random."""
+    """Plan the stops of `stop_count` randomly chosen upstreams."""
     version = make_version(upstream_count)
     addresses = random.Random(1).sample(
         sorted(version.upstreams_by_agent), stop_count
@@ -64,12 +64,12 @@
 
 
 def main() -> None:
-    """Print the hours and the processor time of a day's plan."""
+    """Print the duration of a day's plan and the CPU time of planning."""
     began_s = time.process_time()
-    made = plan_day(UPSTREAMS, STOPS_PER_DAY)
+    plan = plan_day(UPSTREAMS, STOPS_PER_DAY)
     spent_s = time.process_time() - began_s
     print(
-        f'{len(made.stops)} stops end after {made.end_ms / MS_PER_HOUR} h; '
+        f'{len(plan.stops)} stops end after {plan.end_ms / MS_PER_HOUR} h; '
         f'planned in {spent_s:.2f} s'
     )
 
--- a/benchmarks/engine_model.py
+++ b/benchmarks/engine_model.py
@@ -1,8 +1,8 @@
 """Queueing model of an engine with continuous batching and a prefix cache.
 
-Each step decodes one token of every sequence whose prefill is done and
-computes a chunk of the prefill of each other one. A step takes longer with
-more cached tokens to read and with more prefill in it.
+Each step decodes one token of every sequence whose prefill is complete, and
+computes a prefill chunk of each other sequence. The duration of a step grows
+with the KV cache tokens that it reads and the prefill tokens that it computes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass
 class Sequence:
-    """One attempt on the engine."""
+    """One attempt that runs on the engine."""
 
     job: Job
     attempt: int
@@ -36,7 +36,7 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Return the cache tokens in use."""
+        """Return the KV cache tokens of this sequence."""
         return self.job.prompt_tokens + self.accepted + self.produced
 
     @property
@@ -47,7 +47,7 @@
 
 @dataclass
 class Engine:
-    """Engine state; steps take `slowdown` times as long."""
+    """State of one engine, whose steps take `slowdown` times as long."""
 
     slowdown: float = 1
     by_key: dict[tuple[str, int], Sequence] = field(default_factory=dict)
@@ -57,11 +57,11 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Return the cache tokens of all sequences."""
-        return sum(one.kv_tokens for one in self.by_key.values())
+        """Return the KV cache tokens of all sequences."""
+        return sum(sequence.kv_tokens for sequence in self.by_key.values())
 
     def covered_tokens(self, job: Job) -> int:
-        """Return the leading prompt tokens in the prefix cache."""
+        """Return how many leading prompt tokens the prefix cache covers."""
         for count in range(len(job.prefix_hashes), 0, -1):
             if job.prefix_hashes[count - 1] in self.cached:
                 return min(count * BLOCK_TOKENS, job.prompt_tokens)
@@ -76,40 +76,43 @@
         return sequence
 
     def step(self) -> tuple[float, tuple[Sequence, ...]]:
-        """Run one step; return its duration and who made a token in it."""
+        """Run one step.
+
+        Returns its duration in ms and the sequences that produced a token.
+        """
         chunk_total = 0
-        made: list[Sequence] = []
+        decoded: list[Sequence] = []
         for sequence in self.by_key.values():
             if not sequence.prefill_left:
-                made.append(sequence)
+                decoded.append(sequence)
                 continue
             room = min(CHUNK_TOKENS, STEP_PREFILL_TOKENS - chunk_total)
             chunk = min(sequence.prefill_left, room)
             chunk_total += chunk
             sequence.prefill_left -= chunk
             if not sequence.prefill_left:
-                made.append(sequence)
+                decoded.append(sequence)
                 self._cache(sequence.job)
-        for sequence in made:
+        for sequence in decoded:
             sequence.produced += 1
         duration_ms = STEP_MS + KV_MS_PER_TOKEN * self.kv_tokens
         duration_ms += chunk_total / PREFILL_TOKENS_PER_MS
-        return duration_ms * self.slowdown, tuple(made)
+        return duration_ms * self.slowdown, tuple(decoded)
 
     def _cache(self, job: Job) -> None:
         self.cache_events.extend(job.prefix_hashes)
-        for one in job.prefix_hashes:
-            self.cached[one] = None
-            self.cached.move_to_end(one)
+        for prefix_hash in job.prefix_hashes:
+            self.cached[prefix_hash] = None
+            self.cached.move_to_end(prefix_hash)
         while len(self.cached) > CACHE_BLOCKS:
             self.cached.popitem(last=False)
 
 
 def saturated_per_s(duration_ms: float = 300_000) -> float:
-    """Return the requests per second of an engine with all slots busy.
+    """Return the requests per second that an engine serves with full slots.
 
-    No prompt prefix is cached; the load of the fleet is given as a part of
-    this figure, so that provisioning does not count on the caches.
+    The prefix cache is kept empty. Loads of the fleet are fractions of this
+    rate, so that provisioning does not rely on cache hits.
     """
     draw = random.Random(1)
     engine = Engine()
--- a/benchmarks/entry_process.py
+++ b/benchmarks/entry_process.py
@@ -1,8 +1,8 @@
-"""Cost of the platform's entry as a process, beside a former version's.
+"""Cost of the platform's entry process, compared with another version.
 
 Run ``python -m benchmarks.entry_process --against FOLDER``, where the folder
-is a checkout of another version. Store and runners are the stand-ins of this
-version for both.
+is a checkout of the other version. Both use the stand-ins of this version for
+store and runners.
 """
 
 from __future__ import annotations
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """What one entry costs.
+    """Costs of one entry process.
 
     Parameters
     ----------
     request_us, event_us
-        Processor time of a short request and of an event of a stream.
+        CPU time of a short request and of one event of a stream.
     memory_mb, slow_mb
-        Resident memory after the load, and what slow readers add to it.
+        Resident memory after the load, and its increase with slow readers.
     """
 
     request_us: float
@@ -74,17 +74,17 @@
     model: Program
 
     def cpu_us(self) -> float:
-        """Return the processor time so far."""
+        """Return the CPU time used so far, in microseconds."""
         times = self.entry.cpu_times()
         return float(times.user + times.system) * _US_PER_S
 
     def memory_mb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory in MB."""
         return float(self.entry.memory_info().rss) / _MB
 
 
 async def measure(root: pathlib.Path) -> Figures:
-    """Measure the entry of a checkout."""
+    """Measure the entry of the checkout at `root`."""
     async with _running(root) as running:
         await _short_requests(running, CONNECTIONS)
         before_us = running.cpu_us()
@@ -105,12 +105,12 @@
 async def _short_requests(running: _Running, count: int) -> None:
     async def call(number: int) -> None:
         reader, writer = await connect(running.front)
-        for done in range(count // CONNECTIONS):
-            name = f'short-{count}-{number}-{done}'
+        for index in range(count // CONNECTIONS):
+            name = f'short-{count}-{number}-{index}'
             writer.write(_request('GET', '/any/x', name))
             head = await reader.readuntil(b'\r\n\r\n')
             if b' 200 ' not in head:
-                raise RuntimeError(f'{name}: {head!r}, expected 200')
+                raise RuntimeError(f'{name}: entry sent {head!r}, expected 200')
             await reader.readexactly(len(name))
         writer.close()
 
@@ -125,7 +125,7 @@
 
 
 async def _slow_readers(running: _Running) -> float:
-    """Return the memory while callers read nothing of their streams."""
+    """Return the resident memory in MB while callers do not read."""
     host, _, port = running.front.rpartition(':')
     callers = []
     for number in range(SLOW_READERS):
@@ -186,7 +186,8 @@
 def _settings(store: str) -> dict[str, object]:
     first = free_port()
     return {
-        # Apart from the others, since its ports lie side by side.
+        # An address of its own: the entry listens on a range of ports, which
+        # other processes must not use.
         **entry_settings('entry', '127.0.0.2', 'a-1', store),
         'listen': {'front': free_address(), 'ready': free_address()},
         'internal_ports': [first, first + 10],
@@ -220,7 +221,7 @@
         if await _serves(running):
             return running
         await asyncio.sleep(_PAUSE_S)
-    raise RuntimeError(f'the entry does not serve after {_TRIES} tries')
+    raise RuntimeError(f'entry serves no request after {_TRIES} attempts')
 
 
 async def _serves(running: _Running) -> bool:
@@ -232,7 +233,7 @@
 
 
 def _skip(line: str) -> None:
-    """Leave a line of a process unread."""
+    """Ignore a line of output of a process."""
 
 
 @click.command()
@@ -243,9 +244,9 @@
 )
 def main(against: pathlib.Path | None) -> None:
     """Print the figures of this version, and ratios to the other's."""
-    own = asyncio.run(measure(pathlib.Path.cwd()))
-    other = asyncio.run(measure(against.resolve())) if against else own
-    for name, figure in vars(own).items():
+    figures = asyncio.run(measure(pathlib.Path.cwd()))
+    other = asyncio.run(measure(against.resolve())) if against else figures
+    for name, figure in vars(figures).items():
         former = getattr(other, name)
         ratio = figure / former if former else 0
         click.echo(f'{name}: {figure:.1f}, former {former:.1f}, {ratio:.2f}')
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -1,4 +1,4 @@
-"""What a run of the fleet measured."""
+"""Figures of a run of the simulated fleet, and percentiles."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 @dataclass
 class Figures:
-    """What a run measured from `since_ms` on."""
+    """Figures of a run; events before `since_ms` are not counted.
+
+    `needed_tokens` counts the prompt tokens that no other request shares,
+    `prefilled_tokens` all that engines prefilled.
+    """
 
     since_ms: float
     first_token_ms_by_team: dict[str, list[float]] = field(default_factory=dict)
@@ -41,12 +45,12 @@
         second: int,
         waited_ms: float,
     ) -> None:
-        """Count the first token of an answer."""
+        """Record the time to first token of a generation."""
         self.first_token_ms_by_team.setdefault(team, []).append(waited_ms)
         self.first_token_by_second.setdefault(second, []).append(waited_ms)
 
     def record_between(self, second: int, between_ms: int) -> None:
-        """Count the time between two tokens."""
+        """Record the time between two tokens of a generation."""
         self.between_tokens_by_ms[between_ms] += 1
         by_ms = self.between_by_second.setdefault(second, Counter())
         by_ms[between_ms] += 1
@@ -59,7 +63,7 @@
 
 
 def percentile(values: Iterable[float], share: float) -> float:
-    """Return the nearest-rank percentile, NaN where there is no value."""
+    """Return the nearest-rank percentile, NaN if there is no value."""
     ordered = sorted(values)
     if not ordered:
         return float('nan')
@@ -67,7 +71,7 @@
 
 
 def counted_percentile(counts: Counter[int], share: float) -> float:
-    """Return the percentile of counted values."""
+    """Return the percentile of values given by their counts."""
     total = sum(counts.values())
     passed = 0
     for value in sorted(counts):
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,7 +1,8 @@
-"""Event-driven harness around real placements and gates.
+"""Discrete-event simulation of a fleet that runs the product's decision code.
 
-Entries, agents and links are reduced to what the decisions depend on: delays,
-lagging reports, missing cache events and deaths.
+Placements, admission gates, guards and budgets are the real ones. Entries,
+agents and links are modelled only as far as they influence decisions: delays,
+late load reports, missing cache events and engine deaths.
 """
 
 from __future__ import annotations
@@ -69,7 +70,19 @@
 
 
 class Fleet:
-    """Runs a workload on all agents in virtual time."""
+    """Simulate a workload on all agents in virtual time.
+
+    Parameters
+    ----------
+    make_placement
+        Makes the placement of an entry from the clock and the entry's index.
+    make_gate
+        Makes the admission gate of an agent.
+    conditions, behaviour
+        Faults of the fleet, and how entries and callers react.
+    warm_up_ms
+        Start of the measurement; earlier events are not counted.
+    """
 
     def __init__(
         self,
@@ -112,7 +125,7 @@
         return self.now_ms / 1000
 
     def after(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Run an action later."""
+        """Schedule an action `delay_ms` from now."""
         due_ms = self.now_ms + delay_ms
         heapq.heappush(self._events, (due_ms, next(self._serial), action))
 
@@ -123,7 +136,7 @@
         *,
         until_ms: float,
     ) -> Figures:
-        """Return the figures of a workload."""
+        """Run a workload until `until_ms`; return the measured figures."""
         arrivals = workload.arrivals()
         self._next_arrival(arrivals)
         self._report_all()
@@ -138,11 +151,14 @@
         return self.figures
 
     def still_lost(self) -> int:
-        """Return how many generations wait for a resumption."""
-        return sum(one.lost_ms > 0 for one in self._by_generation.values())
+        """Return the number of lost generations that have not resumed yet."""
+        return sum(
+            generation.lost_ms > 0
+            for generation in self._by_generation.values()
+        )
 
     def lose(self, loss: Loss) -> None:
-        """Kill engines now; entries notice later."""
+        """Kill engines now; entries are notified after `detection_ms`."""
         for name in loss.agents:
             agent = self.agents[name]
             if agent.alive:
@@ -226,7 +242,7 @@
         agent.engine.by_key.pop(key, None)
 
     def _resend(self, generation: Generation, delay_ms: float) -> None:
-        """Let an impatient caller send its request again under a new name."""
+        """Schedule a retry by an impatient caller, as a new generation."""
         if (
             not self._behaviour.impatient
             or generation.sent >= self._behaviour.resends_max
@@ -237,10 +253,10 @@
             generation.job,
             generation=f'{name}/{generation.sent}',
         )
-        again = partial(
+        resend = partial(
             self._arrive, job, generation.entry, generation.sent + 1
         )
-        self.after(max(delay_ms, self._behaviour.resend_delay_ms), again)
+        self.after(max(delay_ms, self._behaviour.resend_delay_ms), resend)
 
     def _place(self, generation: Generation) -> None:
         if generation.over:
@@ -322,10 +338,10 @@
         self._leave_agent(generation)
         generation.declines += 1
         generation.excluded |= {generation.agent}
-        spent = self.budgets[generation.entry].spend(
+        outcome = self.budgets[generation.entry].spend(
             generation.job.team, resume=False
         )
-        if generation.declines > DECLINES_MAX or isinstance(spent, Denied):
+        if generation.declines > DECLINES_MAX or isinstance(outcome, Denied):
             self._end(generation, f'agent {refused.reason}')
             self._resend(generation, refused.retry_after_ms)
             return
@@ -352,10 +368,10 @@
         if self._behaviour.from_zero:
             generation.produced = 0
         generation.excluded |= {generation.agent}
-        spent = self.budgets[generation.entry].spend(
+        outcome = self.budgets[generation.entry].spend(
             generation.job.team, resume=True
         )
-        if self._behaviour.guarded and isinstance(spent, Denied):
+        if self._behaviour.guarded and isinstance(outcome, Denied):
             self._end(generation, 'retries exhausted')
             return
         self._place(generation)
@@ -463,8 +479,8 @@
 
     def _step(self, agent: Agent) -> None:
         agent.stepping = True
-        duration_ms, made = agent.engine.step()
-        self.after(duration_ms, partial(self._stepped, agent, made))
+        duration_ms, decoded = agent.engine.step()
+        self.after(duration_ms, partial(self._stepped, agent, decoded))
 
     def _stepped(self, agent: Agent, made: tuple[Sequence, ...]) -> None:
         agent.stepping = False
@@ -493,7 +509,7 @@
             self._finish(generation)
 
     def _abandoned(self, agent: Agent, sequence: Sequence) -> None:
-        """Run what nobody waits for to its end, as engines do."""
+        """Free the slot of an abandoned sequence once the engine ends it."""
         if sequence.is_done:
             key = (sequence.job.generation, sequence.attempt)
             agent.engine.by_key.pop(key, None)
@@ -572,11 +588,11 @@
 
     def _report(self, agent: Agent) -> None:
         lag_ms = self.conditions.report_lag_ms
-        keep = 1 - self.conditions.lost_event_share
+        arriving_fraction = 1 - self.conditions.lost_event_share
         cached = tuple(
-            one
-            for one in agent.engine.cache_events
-            if keep == 1 or self._draw.random() < keep
+            prefix_hash
+            for prefix_hash in agent.engine.cache_events
+            if arriving_fraction == 1 or self._draw.random() < arriving_fraction
         )
         agent.engine.cache_events.clear()
         report = msgspec.structs.replace(
@@ -594,9 +610,9 @@
     def _sample(self) -> None:
         if self.now_ms >= self.figures.since_ms:
             loads = [
-                one.engine.kv_tokens
-                for one in self.agents.values()
-                if one.alive
+                agent.engine.kv_tokens
+                for agent in self.agents.values()
+                if agent.alive
             ]
             mean = sum(loads) / max(len(loads), 1)
             if mean:
--- a/benchmarks/fleet_parts.py
+++ b/benchmarks/fleet_parts.py
@@ -1,4 +1,4 @@
-"""What a fleet of the benchmarks is made of."""
+"""Parts of the simulated fleet: conditions, agents and generations."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True)
 class Conditions:
-    """What is wrong with the fleet.
+    """Faults of the simulated fleet.
 
     Parameters
     ----------
     report_lag_ms
         Age of a load report when it arrives.
     lost_event_share
-        Part of the cache events that never arrive.
+        Fraction of the cache events that never arrive.
     slow_agent, slowdown
-        One engine whose steps take `slowdown` times as long.
+        Name of an engine whose steps take `slowdown` times as long.
     """
 
     report_lag_ms: float = 50
@@ -49,20 +49,26 @@
 
 @dataclass(frozen=True)
 class Behaviour:
-    """What the fleet and its callers do.
+    """Protections of the fleet and reactions of its callers.
 
     Parameters
     ----------
     guarded
-        Whether the entries use overload guard, retry budget and poison guard,
-        and withdraw what a caller has given up.
+        Whether entries use the overload guard, the retry budget and the poison
+        guard, and cancel attempts whose caller has given up.
     impatient
-        Whether callers give up after `patience_ms` without a token and send
-        again what was given up or refused.
+        Whether callers give up after `patience_ms` without a token, and retry
+        requests that they gave up or that were refused.
     from_zero
-        Whether a lost generation starts again without its tokens.
+        Whether a lost generation restarts without the tokens that it had.
     restart_ms
-        Time after which a dead engine is back; 0 for never.
+        Time until a dead engine restarts; 0 for never.
+    poison_team
+        Team whose requests kill an engine; empty for none.
+    patience_ms
+        Time without a first token after which an impatient caller gives up.
+    resends_max, resend_delay_ms
+        Retries of an impatient caller, and the least delay before each.
     """
 
     guarded: bool = True
@@ -81,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """Death of engines, noticed by all entries after `detection_ms`."""
+    """Death of engines, detected by all entries after `detection_ms`."""
 
     at_ms: float
     agents: tuple[str, ...]
@@ -90,7 +96,11 @@
 
 @dataclass
 class Generation:
-    """One request with its current attempt and the caller's tokens."""
+    """One request, its current attempt and the tokens its caller has.
+
+    `sent` counts retries by the caller, `needed` the tokens that the caller
+    already had at a loss, `lost_ms` is the time of the loss or 0.
+    """
 
     job: Job
     entry: int
@@ -110,18 +120,18 @@
 
     @property
     def content(self) -> int:
-        """Return the fingerprint: poisonous requests share their team's."""
+        """Return the fingerprint; poison requests of one team share it."""
         text = self.job.team if self.poisonous else self.job.generation
         return hash_text(text)
 
 
 def hash_text(text: str) -> int:
-    """Return a number for a text, the same in every run."""
+    """Return an integer that is unique to a text, in every process."""
     return int.from_bytes(text.encode(), 'big')
 
 
 class Agent:
-    """Engine with its gate."""
+    """Simulated agent: an engine and its admission gate."""
 
     def __init__(
         self,
@@ -139,25 +149,25 @@
 
 
 def bounded_gate(clock: Clock, rules: GateRules) -> AdmissionGate:
-    """Return the product's gate with the engine's capacity."""
+    """Return the product's gate with the limits of the modelled engine."""
     limits = GateLimits(max_running=MAX_RUNNING, kv_capacity=KV_CAPACITY)
     return AdmissionGate(clock=clock, limits=limits, rules=rules)
 
 
 @dataclass
 class PeerSink(QuarantineSink):
-    """Carries quarantine notices between entries with a delay."""
+    """Propagates quarantine notices to other entries after a delay."""
 
     entry: int
     after: Callable[[float, Callable[[], None]], None]
     peers: list[PoisonGuard] = field(default_factory=list)
 
     def quarantined(self, notice: Quarantine) -> None:
-        """Tell peers at once."""
+        """Propagate a new quarantine to all peers."""
         self.send(notice)
 
     def send(self, notice: Quarantine) -> None:
-        """Carry a notice to all peers."""
+        """Send a notice to all peers."""
         for index, peer in enumerate(self.peers):
             if index != self.entry:
                 merge = partial(peer.merge, f'entry{self.entry}', notice)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,7 +1,7 @@
-"""Convergence and false removals of the membership.
+"""Convergence time and false removals of the membership protocol.
 
 Run ``python -m benchmarks.membership [SIZE ...]``. The real code runs in
-virtual time over a network in memory with 10% loss.
+virtual time over an in-memory network with 10% loss.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass
 class Cluster:
-    """Members on one network, some of them paused."""
+    """Members on one simulated network, some of which may be paused."""
 
     loss: float = LOSS
     network: MemoryNetwork = field(init=False)
@@ -53,7 +53,7 @@
     held_by_address: dict[str, list[Envelope]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Make the network and the platform."""
+        """Create the network and the platform."""
         self.clock = Clock.from_loop(asyncio.get_running_loop())
         self.network = MemoryNetwork(
             delay_ms=20, jitter_ms=20, loss=self.loss, seed=1
@@ -92,18 +92,18 @@
             held.append(envelope)
 
     def crash(self, address: str) -> None:
-        """End a member without notice; the platform's list stays."""
+        """Stop a member without notice; it stays in the host list."""
         self.task_by_address.pop(address).cancel()
         self.members_by_address.pop(address)
         self.network.ends_by_address.pop(address)
 
     def pause(self, address: str) -> None:
-        """Stop a process; what it receives waits in its sockets."""
+        """Suspend a member; messages to it are queued as in its sockets."""
         self.held_by_address[address] = []
         self.task_by_address.pop(address).cancel()
 
     def resume(self, address: str) -> None:
-        """Let a paused process go on; its timers run before its sockets."""
+        """Resume a paused member; timers run before queued messages."""
         member = self.members_by_address[address]
         member.tick()
         for envelope in self.held_by_address.pop(address):
@@ -113,7 +113,10 @@
     async def time_until_known(
         self, address: str, *, live: bool, limit_ms: float = WATCH_MS
     ) -> float:
-        """Return the time until all others agree on `address`."""
+        """Return the ms until all other members agree on `address`.
+
+        Returns at least `limit_ms` if they have not agreed by then.
+        """
         began_ms = self.clock.now_ms()
         while self.clock.now_ms() - began_ms < limit_ms:
             if self._agree(address, live=live):
@@ -124,12 +127,15 @@
     def _agree(self, address: str, *, live: bool) -> bool:
         return all(
             (address in member.live_entries()) is live
-            for own, member in self.members_by_address.items()
-            if own != address
+            for observer, member in self.members_by_address.items()
+            if observer != address
         )
 
     def highest_rate(self, began: dict[str, int], duration_ms: float) -> float:
-        """Return the highest bytes/s sent by one member since `began`."""
+        """Return the highest bytes/s sent by one member.
+
+        `began` holds the bytes by sender at the start of the `duration_ms`.
+        """
         highest = max(
             total - began.get(address, 0)
             for address, total in self.network.bytes_by_sender.items()
@@ -137,28 +143,28 @@
         return highest * 1000 / duration_ms
 
     def removals(self) -> int:
-        """Return how often a member has removed another, in all."""
+        """Return the number of removals, summed over all members."""
         return sum(
             member.counters.removals
             for member in self.members_by_address.values()
         )
 
     def suspicions(self) -> int:
-        """Return how often a member has suspected another, in all."""
+        """Return the number of suspicions, summed over all members."""
         return sum(
             member.counters.suspicions
             for member in self.members_by_address.values()
         )
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel the tasks of all members."""
         for task in self.task_by_address.values():
             task.cancel()
 
 
 @dataclass(frozen=True)
 class Figures:
-    """Figures of one size; times in ms, rates in bytes per second."""
+    """Figures of one cluster size; rates are in bytes per second."""
 
     size: int
     false_suspicions: int
@@ -171,7 +177,7 @@
 
 
 def make_place(number: int) -> PlaceSettings:
-    """Return the place of a member."""
+    """Return the address, region and failure domain of a member."""
     return PlaceSettings(
         address=f'10.1.{number // 250}.{number % 250}:7000',
         region=f'region-{number % REGIONS}',
@@ -183,12 +189,14 @@
     cluster = Cluster()
     addresses = [cluster.add(number) for number in range(size)]
     await cluster.clock.sleep_ms(SETTLE_MS + SETTLE_MS_PER_MEMBER * size)
-    began = dict(cluster.network.bytes_by_sender)
+    sent_before = dict(cluster.network.bytes_by_sender)
     began_s = time.process_time()
     await cluster.clock.sleep_ms(STEADY_MS)
     cpu_us = (time.process_time() - began_s) * 1_000_000
-    sent = sum(cluster.network.bytes_by_sender.values()) - sum(began.values())
-    highest = cluster.highest_rate(began, STEADY_MS)
+    sent = sum(cluster.network.bytes_by_sender.values()) - sum(
+        sent_before.values()
+    )
+    highest = cluster.highest_rate(sent_before, STEADY_MS)
     await _pause_some(cluster, addresses)
     removals = cluster.removals()
     suspicions = cluster.suspicions()
@@ -222,13 +230,13 @@
 
 
 def measure(size: int) -> Figures:
-    """Return the figures of a cluster of `size` members."""
+    """Measure a cluster of `size` members."""
     return run_virtual(_measure(size))
 
 
 def main() -> None:
     """Print a row of figures per size."""
-    sizes = [int(one) for one in sys.argv[1:]] or DEFAULT_SIZES
+    sizes = [int(argument) for argument in sys.argv[1:]] or DEFAULT_SIZES
     print(
         'members | false suspicions | false removals | mean B/s '
         '| highest B/s | join ms | crash ms | CPU us per member and s'
--- a/benchmarks/publication_time.py
+++ b/benchmarks/publication_time.py
@@ -1,7 +1,7 @@
-"""Time until a publication is in force and accepted, and what it costs.
+"""Time until a published version is in force and accepted, and its cost.
 
-Runs holders in virtual time: `python -m benchmarks.publication_time`, with the
-number of holders in each of ten regions as an argument.
+Run ``python -m benchmarks.publication_time [HOLDERS]``, where HOLDERS is the
+number of version holders in each of ten regions. Time is virtual.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Link:
-    """Links between the processes and towards the store."""
+    """Delay and loss between processes, and delay to the store."""
 
     delay_ms: float
     loss: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Measured:
-    """Times in ms after the write, rates per second."""
+    """Figures of one link; times are in ms after the version is written."""
 
     in_force_ms: tuple[float, ...]
     accepted_ms: tuple[float, ...]
@@ -50,7 +50,7 @@
 def measure(
     link: Link, publications: int, outage_lease_ms: int = 0
 ) -> Measured:
-    """Publish one version after the other and wait for each."""
+    """Publish versions one by one, each after the last is accepted."""
     return run_virtual(_measure(link, publications, outage_lease_ms))
 
 
@@ -64,7 +64,7 @@
     sampling = asyncio.ensure_future(group.sample_forever())
     await group.clock.sleep_ms(WARM_UP_MS)
     reads_per_s, bytes_per_s = await _idle_rates(group)
-    writes = group.platform.writes
+    writes_before = group.platform.writes
     in_force_ms: list[float] = []
     accepted_ms: list[float] = []
     for weight in range(2, publications + 2):
@@ -73,7 +73,7 @@
         await group.accept(version)
         accepted_ms.append(group.accepted_ms_by_version[version] - written_ms)
         in_force_ms.append(group.in_force_ms_by_version[version] - written_ms)
-    writes = group.platform.writes - writes
+    writes = group.platform.writes - writes_before
     sampling.cancel()
     assert not group.violations()
     return Measured(
@@ -113,25 +113,25 @@
 
 
 async def _idle_rates(group: VersionGroup) -> tuple[float, float]:
-    reads = group.platform.reads
-    sent = sum(group.network.bytes_by_sender.values())
+    reads_before = group.platform.reads
+    sent_before = sum(group.network.bytes_by_sender.values())
     await group.clock.sleep_ms(IDLE_MS)
-    reads = group.platform.reads - reads
-    sent = sum(group.network.bytes_by_sender.values()) - sent
+    reads = group.platform.reads - reads_before
+    sent = sum(group.network.bytes_by_sender.values()) - sent_before
     seconds = IDLE_MS / MS_PER_S
     holders = len(group.members_by_address)
     return reads / seconds, sent / seconds / holders
 
 
 def _refused_share(group: VersionGroup) -> float:
-    """Return the share of samples after the warm-up that admit nothing."""
-    refused = sum(one.at_ms >= WARM_UP_MS for one in group.refusals)
-    admitted = sum(one.at_ms >= WARM_UP_MS for one in group.admissions)
+    """Return the fraction of samples after the warm-up that are refused."""
+    refused = sum(sample.at_ms >= WARM_UP_MS for sample in group.refusals)
+    admitted = sum(sample.at_ms >= WARM_UP_MS for sample in group.admissions)
     return refused / (refused + admitted)
 
 
 def main() -> None:
-    """Print a table of links."""
+    """Measure all links, with and without an outage lease; print a table."""
     holders = int(sys.argv[1]) if len(sys.argv) > 1 else HOLDERS_PER_REGION
     for lease_ms in (0, OUTAGE_LEASE_MS):
         for delay_ms in (2, 80):
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -1,6 +1,6 @@
-"""Processor time of the entry's hot paths, in one process without a network.
+"""CPU time of the entry's hot paths, in one process without a network.
 
-``python -m benchmarks.relay_cost`` prints a line for each.
+Run ``python -m benchmarks.relay_cost``; it prints one line per operation.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """Processor time of one operation."""
+    """CPU time of one operation in microseconds."""
 
     name: str
     us: float
 
 
 def directory_of(count: int, clock: Clock) -> UpstreamDirectory:
-    """Return a directory of ready upstreams in all failure domains."""
+    """Return a directory of `count` ready upstreams in all failure domains."""
     directory = UpstreamDirectory(clock)
     for number in range(count):
         directory.update(
@@ -64,35 +64,36 @@
 
 
 def decision_cost(count: int) -> Cost:
-    """Return the cost of drawing and comparing candidates for a prompt."""
+    """Return the cost of choosing an upstream for a prompt."""
     clock = Clock.from_system()
     directory = directory_of(count, clock)
     choice = UpstreamChoice(directory, 'd0', {}, random.Random(1))
-    works = [
+    requests = [
         RelayPlacementRequest(
             'model', prompt_tokens=8000, affinity=b'%d' % number
         )
         for number in range(DECISIONS)
     ]
-    choice.draw_candidates(works[0])
+    choice.draw_candidates(requests[0])
 
     def decide() -> None:
-        for work in works:
-            cheapest(choice, work)
+        for request in requests:
+            cheapest(choice, request)
 
     return Cost(f'decision, {count} upstreams', _us(decide) / DECISIONS)
 
 
 def cheapest(choice: UpstreamChoice, work: RelayPlacementRequest) -> None:
-    """Draw candidates and compare them."""
+    """Draw candidates and compare their costs."""
     costs_ms = [
-        choice.cost_ms(one, work) for one in choice.draw_candidates(work)
+        choice.cost_ms(candidate, work)
+        for candidate in choice.draw_candidates(work)
     ]
     min(costs_ms)
 
 
 def change_cost(count: int) -> Cost:
-    """Return the cost of an upstream that goes and comes back."""
+    """Return the cost of removing an upstream and adding it again."""
     directory = directory_of(count, Clock.from_system())
     upstream = directory.get('u7')
 
@@ -105,7 +106,7 @@
 
 
 def event_cost() -> Cost:
-    """Return the cost of one event: parse, split, encode."""
+    """Return the cost of parsing, splitting and encoding one event."""
     return Cost('event relayed', asyncio.run(_relay_events()) / EVENTS)
 
 
--- a/benchmarks/relay_loop.py
+++ b/benchmarks/relay_loop.py
@@ -1,8 +1,8 @@
-"""Relay of one entry in one process: frames in, rendered events out.
+"""CPU cost of the relay of one entry, in one process without sockets.
 
-No socket is used: batches are handed to the entry's `Generations`, and each
-stream's ASGI messages are counted. What it costs is compared with a bare loop
-of the same work that can't be left out: decode, encode, sign.
+Batches are passed to the entry's `Generations`, and the ASGI messages of each
+stream are counted. The cost is compared with that of a baseline loop, which
+does only the work that no relay can avoid: decode, encode and sign.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass
 class RelayCounts:
-    """Work of a run; `cpu_s` covers the relay of all batches."""
+    """Counts of one run; `cpu_s` is the CPU time of relaying all batches."""
 
     frames: int = 0
     bodies: int = 0
@@ -44,7 +44,7 @@
 
 
 class _Caller:
-    """Takes the ASGI messages of one stream."""
+    """Counts the ASGI messages of one stream."""
 
     def __init__(self, counts: RelayCounts) -> None:
         self._counts = counts
@@ -67,9 +67,9 @@
     flushes: int,
     batches_at_once: int = 1,
 ) -> RelayCounts:
-    """Relay `flushes` batches to each group of streams; count the work.
+    """Relay `flushes` frames to each stream; count the work.
 
-    With `batches_at_once` above 1, so many arrive before the loop goes on.
+    The event loop runs after every `batches_at_once` flushes.
     """
     counts = RelayCounts()
     deployment = SmallDeployment(agent_count=1)
@@ -107,7 +107,7 @@
 
 
 def baseline(streams: int, flushes: int) -> float:
-    """Return CPU seconds of decoding, encoding and signing alone."""
+    """Return the CPU seconds of only decoding, encoding and signing."""
     frames = tuple(
         Frame(f'gen-{index:032}', 1, 0, (TOKEN,))
         for index in range(STREAMS_PER_BATCH)
@@ -165,6 +165,6 @@
 
 
 if __name__ == '__main__':
-    done = asyncio.run(relay(240, 200))
-    print(done, 1e6 * done.cpu_s / done.frames, 'us a frame')
+    counts = asyncio.run(relay(240, 200))
+    print(counts, 1e6 * counts.cpu_s / counts.frames, 'us a frame')
     print(1e6 * baseline(240, 200) / 240 / 200, 'us a frame of the baseline')
--- a/benchmarks/resume_policy.py
+++ b/benchmarks/resume_policy.py
@@ -1,7 +1,7 @@
-"""Resume latency against extra use, for each policy and each kind of loss.
+"""Resume latency and resource overhead of resume policies after losses.
 
-Real entry and agents over a network in memory, in virtual time. The table is
-written to `docs/design/resume-figures.md`.
+Runs the real entry and agents over an in-memory network in virtual time, and
+writes a table to `docs/design/resume-figures.md`.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """One user's deployment: runners and one-way delays in milliseconds."""
+    """One customer's deployment: agents and one-way delays in ms."""
 
     name: str
     agents: int
@@ -83,7 +83,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What is lost while generations run."""
+    """Fault injected while generations run."""
 
     NONE = 'none'
     ENGINE_DEATH = 'engine death'
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class Way:
-    """One way to go on after a loss; the naive one restarts from zero."""
+    """One resume policy; a `naive` one lets the caller restart from zero."""
 
     name: str
     policy: ResumePolicy
@@ -121,7 +121,11 @@
 
 @dataclass
 class Use:
-    """What runs with all their generations took."""
+    """Outcomes and resources used, summed over the generations of runs.
+
+    `resume_ms` holds the time from the fault to new output at the caller;
+    `standby_token_s` is warmed tokens times the seconds that they are held.
+    """
 
     resume_ms: list[float] = field(default_factory=list)
     whole: int = 0
@@ -134,7 +138,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One line of the table; extra use is per lost generation."""
+    """One row of the table; extra resources are per lost generation."""
 
     site: str
     fault: str
@@ -150,7 +154,7 @@
 
 
 def object_set(site: Site, policy: ResumePolicy) -> ObjectSet:
-    """Return three regions of two failure domains with a site's runners."""
+    """Return three regions of two failure domains with a site's upstreams."""
     domains = tuple(
         FailureDomain(f'{region}-{letter}', region)
         for region, letter in itertools.product(_REGIONS, 'ab')
@@ -216,7 +220,7 @@
         self._lives: list[LiveGeneration] = []
 
     async def run(self) -> Use:
-        """Return the use once every answer has ended."""
+        """Run until every answer has ended; return outcomes and resources."""
         sampling = asyncio.create_task(self._sample())
         tasks = []
         for index in range(GENERATIONS):
@@ -237,10 +241,10 @@
     async def _caller(self, index: int) -> None:
         prompt = f'{self._seed}-{index} ' * PROMPT_TOKENS
         live = self._open(prompt)
-        held = await self._read(live, 0)
+        held_tokens = await self._read(live, 0)
         if self._way.naive and live.generation.refusal is not None:
             live = self._open(prompt)
-            await self._read(live, held)
+            await self._read(live, held_tokens)
         if live.generation.refusal is not None:
             self.use.refused += 1
             return
@@ -256,16 +260,20 @@
         return live
 
     async def _read(self, live: LiveGeneration, held: int) -> int:
-        """Read to the end; note when output went on after a loss."""
+        """Read to the end; record when output resumes after the fault.
+
+        Returns the number of tokens; `held` is the number that the caller had
+        from an earlier run.
+        """
         generation = live.generation
-        noted = False
+        is_recorded = False
         while not generation.is_over:
             live.consumed_tokens = generation.offset
             await live.wait_change()
-            if not noted and self._went_on(live, held):
-                noted = True
-                waited_ms = self._deployment.clock.now_ms() - self._fault_ms
-                self.use.resume_ms.append(waited_ms + self._site.client_ms)
+            if not is_recorded and self._went_on(live, held):
+                is_recorded = True
+                resumed_ms = self._deployment.clock.now_ms() - self._fault_ms
+                self.use.resume_ms.append(resumed_ms + self._site.client_ms)
         return generation.offset
 
     def _went_on(self, live: LiveGeneration, held: int) -> bool:
@@ -309,25 +317,25 @@
     async def _sample(self) -> None:
         while True:
             await self._deployment.clock.sleep_ms(SAMPLE_MS)
-            held = sum(
+            standby_tokens = sum(
                 live.warmed_offset
                 for live in self._lives
                 if live.standby and not live.generation.is_over
             )
-            self.use.standby_token_s += held * SAMPLE_MS / _MS_PER_S
+            self.use.standby_token_s += standby_tokens * SAMPLE_MS / _MS_PER_S
 
     def _count(self) -> None:
         use = self.use
         for node in self._deployment.agents:
             use.prefill_tokens += node.engine.counts.prefill_tokens
             use.decoded_tokens += node.engine.counts.decoded_tokens
-        far = {
+        remote_agents = {
             agent_address(index)
             for index in range(self._site.agents)
             if _region_of(index) != _REGIONS[0]
         }
         for link, count in self._deployment.network.bytes_by_link.items():
-            if far.intersection(link):
+            if remote_agents.intersection(link):
                 use.cross_region_bytes += count
 
 
@@ -337,7 +345,7 @@
     fault: Fault,
     seeds: Iterable[int] = SEEDS,
 ) -> Use:
-    """Return what runs with several seeds took together."""
+    """Run once for each seed; return the summed outcomes and resources."""
     total = Use()
     for seed in seeds:
         use = run_virtual(_run(site, way, fault, seed))
@@ -362,7 +370,7 @@
     clean: Use,
     seeds: Iterable[int] = SEEDS,
 ) -> Row:
-    """Return one line; `clean` is the use with no fault and no standby."""
+    """Return one row; `clean` is a run without fault and without standby."""
     use = measure_use(site, way, fault, seeds)
     lost = max(1, len(use.resume_ms) + use.refused)
     decoded = use.decoded_tokens - clean.decoded_tokens
@@ -383,7 +391,7 @@
 
 
 def rows() -> Iterator[Row]:
-    """Yield the lines of the table."""
+    """Yield the rows of the table."""
     for site in SITES:
         clean = measure_use(site, ON_DEMAND, Fault.NONE)
         for fault in tuple(Fault)[1:]:
@@ -409,7 +417,7 @@
 
 
 def main() -> None:
-    """Print the table and write it beside its page."""
+    """Print the table and write it to `FIGURES_FILE`."""
     logging.set_verbosity(logging.FATAL)
     lines = [
         '# Resume latency against extra use',
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""Writes docs/design/routing-figures.md and its plot.
+"""Measure the routing scenarios; write docs/design/routing-figures.md.
 
 Run `python -m benchmarks.routing` from the root of the repository.
 """
@@ -81,13 +81,13 @@
 
 @dataclass(frozen=True)
 class _Batch(Generic[_Case, _Row]):
-    """Cases of one kind with the function that measures each."""
+    """Cases of one kind and the function that measures one of them."""
 
     run: Callable[[_Case], _Row]
     cases: tuple[_Case, ...]
 
     def rows(self, pool: ProcessPoolExecutor) -> list[tuple[_Case, _Row]]:
-        """Return each case with its figures, in order."""
+        """Measure all cases; return each with its figures, in order."""
         return list(
             zip(self.cases, pool.map(self.run, self.cases), strict=True)
         )
@@ -116,7 +116,7 @@
     return [
         case.placement,
         f'{case.load:.0%}',
-        '/'.join(f'{one:.0f}' for one in row.first_token_ms),
+        '/'.join(f'{value_ms:.0f}' for value_ms in row.first_token_ms),
         f'{row.between_p95_ms:.0f}',
         f'{row.imbalance:.2f}',
         f'{row.recomputed:.0%}',
@@ -135,7 +135,9 @@
     for title, conditions in _CONDITIONS.items():
         batch = _Batch(
             run_load,
-            tuple(LoadCase(one, NORMAL_LOAD, conditions) for one in PLACEMENTS),
+            tuple(
+                LoadCase(name, NORMAL_LOAD, conditions) for name in PLACEMENTS
+            ),
         )
         lines = itertools.starmap(_load_line, batch.rows(pool))
         parts.append(f'With {title}:\n\n{_table(_LOAD_HEAD, lines)}')
@@ -152,7 +154,7 @@
         (
             case.placement,
             f'{case.load:.0%}',
-            '/'.join(f'{one:.0f}' for one in row),
+            '/'.join(f'{value_ms:.0f}' for value_ms in row),
         )
         for case, row in _Batch(run_pooled, cases).rows(pool)
     ]
@@ -186,7 +188,7 @@
         name,
         str(row.resumed),
         str(row.unresumed),
-        '/'.join(f'{one / 1000:.2f}' for one in row.resume_ms),
+        '/'.join(f'{value_ms / 1000:.2f}' for value_ms in row.resume_ms),
         f'{row.between_p95_ms:.0f}',
         f'{row.first_token_p95_ms:.0f}',
         str(row.refused),
@@ -275,10 +277,10 @@
     figure, (upper, lower) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 6))
     for name, row in rows.items():
         seconds = list(row.p95_ms_by_second)
-        waits_s = [one / 1000 for one in row.p95_ms_by_second.values()]
-        served = [one / 5 for one in row.served_by_second.values()]
-        upper.plot(seconds, waits_s, label=name)
-        lower.plot(seconds, served, label=name)
+        p95_s = [p95_ms / 1000 for p95_ms in row.p95_ms_by_second.values()]
+        served_per_s = [count / 5 for count in row.served_by_second.values()]
+        upper.plot(seconds, p95_s, label=name)
+        lower.plot(seconds, served_per_s, label=name)
     upper.set_ylabel('first token p95, s')
     upper.set_yscale('log')
     upper.legend()
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios of routing, overload, loss, fairness and poison."""
+"""Scenarios: routing, overload, engine loss, fairness, poison requests."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 def scored_by_count(clock: Clock, entry: int) -> ScoredPlacement:
-    """Return the product's placement without its term for cache tokens."""
+    """Return the product's placement without its cost for KV cache use."""
     placement = scored(clock, entry)
     placement.weights = ScoreWeights(kv_full_ms=0)
     return placement
@@ -110,23 +110,23 @@
 
 @functools.cache
 def fleet_per_s() -> float:
-    """Return the arrivals per second that are 100% load."""
+    """Return the arrival rate that is 100% load of the fleet."""
     return saturated_per_s() * len(ALL_AGENTS)
 
 
 def equal_teams(phases: tuple[Phase, ...], seed: int = 7) -> Workload:
-    """Return a workload of ten teams of the same size."""
+    """Return a workload of ten teams with equal arrival rates."""
     return Workload(dict.fromkeys(TEAMS, 1), ENTRY_SHARES, phases, seed)
 
 
 def phase(duration_ms: float, load: float) -> Phase:
-    """Return a phase at a part of the fleet's capacity."""
+    """Return a phase at `load`, a fraction of the fleet's capacity."""
     return Phase(duration_ms, load * fleet_per_s())
 
 
 @dataclass(frozen=True)
 class LoadCase:
-    """Placement at one load under one condition."""
+    """One placement at one load under one set of conditions."""
 
     placement: str
     load: float = NORMAL_LOAD
@@ -137,7 +137,11 @@
 
 @dataclass(frozen=True)
 class LoadRow:
-    """Figures of a `LoadCase`; `recomputed` is in parts of needed prefill."""
+    """Figures of a `LoadCase`.
+
+    `recomputed` is the prefill beyond what is needed, over what is needed;
+    `refused` is a fraction of the offered requests.
+    """
 
     first_token_ms: tuple[float, float, float]
     between_p95_ms: float
@@ -148,7 +152,7 @@
 
 
 def run_load(case: LoadCase) -> LoadRow:
-    """Measure one placement behind the product's gate."""
+    """Measure one placement with the product's admission gate."""
     behaviour = replace(PRODUCT, guarded=case.placement == 'scored')
     fleet = Fleet(
         PLACEMENTS[case.placement],
@@ -164,14 +168,14 @@
 
 
 def _load_row(figures: Figures) -> LoadRow:
-    waits = figures.first_token_ms
+    first_token_ms = figures.first_token_ms
     extra = figures.prefilled_tokens - figures.needed_tokens
     refused = sum(figures.refused_by_reason.values())
     return LoadRow(
         first_token_ms=(
-            percentile(waits, 0.5),
-            percentile(waits, 0.95),
-            percentile(waits, 0.99),
+            percentile(first_token_ms, 0.5),
+            percentile(first_token_ms, 0.95),
+            percentile(first_token_ms, 0.99),
         ),
         between_p95_ms=counted_percentile(figures.between_tokens_by_ms, 0.95),
         imbalance=sum(figures.imbalances) / len(figures.imbalances),
@@ -183,7 +187,7 @@
 
 @dataclass(frozen=True)
 class PooledCase:
-    """Placement without entry guard, over several seeds."""
+    """One placement without overload guards, pooled over several seeds."""
 
     placement: str
     load: float
@@ -191,7 +195,7 @@
 
 
 def run_pooled(case: PooledCase) -> tuple[float, float, float]:
-    """Return p50, p95 and p99 to first token in milliseconds."""
+    """Return p50, p95 and p99 of the time to first token in ms."""
     until_ms = WARM_UP_MS + MEASURED_MS
     waits: list[float] = []
     for seed in case.seeds:
@@ -213,7 +217,7 @@
 
 @dataclass(frozen=True)
 class OverloadCase:
-    """80%, then 150%, then 80% load, with callers that send again."""
+    """Load of 80%, then 150%, then 80%, with callers that retry."""
 
     placement: PlacementFactory = scored
     gate: GateFactory = bounded_gate
@@ -227,9 +231,9 @@
 class OverloadRow:
     """Figures of an `OverloadCase`.
 
-    `recovery_s` counts from the return to 80% until each later window of
-    `AFTERMATH_S` meets the first token target and serves 90% of what arrives;
-    None where that does not happen.
+    `recovery_s` is the time from the return to 80% load until every later
+    window of `AFTERMATH_S` meets the first token target and starts 90% of the
+    arrivals; None if the fleet does not recover.
     """
 
     served_per_s: float
@@ -241,7 +245,7 @@
 
 
 def run_overload(case: OverloadCase) -> OverloadRow:
-    """Measure an overload and the return from it."""
+    """Measure an overload and the recovery from it."""
     behaviour = Behaviour(guarded=case.guarded, impatient=True)
     fleet = Fleet(case.placement, case.gate, NOMINAL, behaviour)
     phases = (
@@ -249,24 +253,24 @@
         phase(case.overload_ms, OVERLOAD),
         phase(case.after_ms, NORMAL_LOAD),
     )
-    until_ms = sum(one.duration_ms for one in phases)
+    until_ms = sum(part.duration_ms for part in phases)
     figures = fleet.run(equal_teams(phases), until_ms=until_ms)
     start = int(case.before_ms // 1000)
-    back = start + int(case.overload_ms // 1000)
+    overload_end = start + int(case.overload_ms // 1000)
     end = int(until_ms // 1000)
     served = figures.served_by_second
-    overloaded = sum(served[second] for second in range(start, back))
+    overloaded = sum(served[second] for second in range(start, overload_end))
     return OverloadRow(
-        served_per_s=overloaded / (back - start),
-        overload_p95_ms=_first_token_p95(figures, start, back),
+        served_per_s=overloaded / (overload_end - start),
+        overload_p95_ms=_first_token_p95(figures, start, overload_end),
         after_p95_ms=_first_token_p95(figures, end - 3 * AFTERMATH_S, end),
-        recovery_s=_recovery_s(figures, back, end),
+        recovery_s=_recovery_s(figures, overload_end, end),
         p95_ms_by_second={
             second: _first_token_p95(figures, second - 5, second)
             for second in range(5, end, 5)
         },
         served_by_second={
-            second: sum(served[one] for one in range(second - 5, second))
+            second: sum(served[past] for past in range(second - 5, second))
             for second in range(5, end, 5)
         },
     )
@@ -286,14 +290,14 @@
     recovered: int | None = None
     for start_s in range(end_s - AFTERMATH_S, back_s - 1, -1):
         stop_s = start_s + AFTERMATH_S
-        begun = sum(
+        started = sum(
             len(figures.first_token_by_second.get(second, ()))
             for second in range(start_s, stop_s)
         )
         offered = figures.offered_by_second
-        needed = 0.9 * sum(offered[one] for one in range(start_s, stop_s))
+        needed = 0.9 * sum(offered[second] for second in range(start_s, stop_s))
         p95_ms = _first_token_p95(figures, start_s, stop_s)
-        if begun < needed or p95_ms > FIRST_TOKEN_TARGET_MS:
+        if started < needed or p95_ms > FIRST_TOKEN_TARGET_MS:
             return recovered
         recovered = start_s - back_s
     return recovered
@@ -301,7 +305,10 @@
 
 @dataclass(frozen=True)
 class LossCase:
-    """Loss of a fifth of the engines at 80% load."""
+    """Death of a fifth of the engines at 80% load.
+
+    The dead engines are one failure domain, or every fifth if `scattered`.
+    """
 
     scattered: bool = False
     detection_ms: float = 1000
@@ -314,8 +321,9 @@
 class LossRow:
     """Figures of a `LossCase`, pooled over its seeds.
 
-    Resumption is measured from the loss to the first token beyond those that
-    the caller had; the others over `AFTERMATH_S` from the loss on.
+    `resume_ms` holds p50, p95 and the maximum of the time from the loss to the
+    first token that the caller did not have yet. Time between tokens and time
+    to first token cover the `AFTERMATH_S` that follow the loss.
     """
 
     resumed: int
@@ -327,14 +335,14 @@
 
 
 def run_loss(case: LossCase) -> LossRow:
-    """Measure a loss."""
+    """Measure the resumes after a loss of engines."""
     dead = ALL_AGENTS[::5] if case.scattered else agents_of('r0d1')
     loss = Loss(case.warm_up_ms, dead, case.detection_ms)
     until_ms = case.warm_up_ms + 3 * AFTERMATH_S * 1000
     lost_s = int(case.warm_up_ms // 1000)
     resume_ms: list[float] = []
     waits: list[float] = []
-    between: Counter[int] = Counter()
+    between_tokens: Counter[int] = Counter()
     refused = 0
     unresumed = 0
     for seed in case.seeds:
@@ -346,7 +354,7 @@
         unresumed += figures.lost + fleet.still_lost()
         for second in range(lost_s, lost_s + AFTERMATH_S):
             waits += figures.first_token_by_second.get(second, [])
-            between += figures.between_by_second.get(second, Counter())
+            between_tokens += figures.between_by_second.get(second, Counter())
     return LossRow(
         resumed=len(resume_ms),
         unresumed=unresumed,
@@ -355,7 +363,7 @@
             percentile(resume_ms, 0.95),
             max(resume_ms),
         ),
-        between_p95_ms=counted_percentile(between, 0.95),
+        between_p95_ms=counted_percentile(between_tokens, 0.95),
         first_token_p95_ms=percentile(waits, 0.95),
         refused=refused,
     )
@@ -375,7 +383,7 @@
 
 @dataclass(frozen=True)
 class FairnessCase:
-    """One team at `factor` times its share of `load`."""
+    """One team that sends `factor` times its equal part of `load`."""
 
     load: float
     factor: float
@@ -386,7 +394,7 @@
 
 @dataclass(frozen=True)
 class FairnessRow:
-    """Figures of the nine other teams, and what the large one got."""
+    """Figures of the nine other teams, and the rate served to the large one."""
 
     small_p95_ms: float
     small_refused: float
@@ -394,9 +402,9 @@
 
 
 def run_fairness(case: FairnessCase) -> FairnessRow:
-    """Measure what a greedy team costs the others."""
-    shares = dict.fromkeys(TEAMS, float(1)) | {TEAMS[0]: case.factor}
-    scale = sum(shares.values()) / len(TEAMS)
+    """Measure the effect of one team's excess load on the other teams."""
+    weights = dict.fromkeys(TEAMS, float(1)) | {TEAMS[0]: case.factor}
+    scale = sum(weights.values()) / len(TEAMS)
     until_ms = WARM_UP_MS + case.measured_ms
     small: list[float] = []
     large = 0
@@ -406,7 +414,7 @@
         behaviour = replace(PRODUCT, guarded=case.guarded)
         fleet = Fleet(scored, bounded_gate, NOMINAL, behaviour, WARM_UP_MS)
         phases = (phase(until_ms, case.load * scale),)
-        workload = Workload(shares, ENTRY_SHARES, phases, seed)
+        workload = Workload(weights, ENTRY_SHARES, phases, seed)
         figures = fleet.run(workload, until_ms=until_ms)
         by_team = figures.first_token_ms_by_team
         large += len(by_team.get(TEAMS[0], ()))
@@ -424,7 +432,7 @@
 
 @dataclass(frozen=True)
 class PoisonCase:
-    """A team that sends one request of the same content again and again."""
+    """A team that repeats one request, which kills the engine that runs it."""
 
     guarded: bool = True
     measured_ms: float = MEASURED_MS
@@ -433,7 +441,7 @@
 
 @dataclass(frozen=True)
 class PoisonRow:
-    """Figures of a `PoisonCase`."""
+    """Figures of a `PoisonCase`; `lost` counts answers of other teams."""
 
     deaths_by_region: dict[str, int]
     sent: int
@@ -445,10 +453,10 @@
 
 
 def run_poison(case: PoisonCase) -> PoisonRow:
-    """Measure a poison request under load, through all entries in turn."""
-    shares = dict.fromkeys(TEAMS, float(1))
+    """Measure a poison request that is repeated under load at all entries."""
+    weights = dict.fromkeys(TEAMS, float(1))
     normal_per_s = NORMAL_LOAD * fleet_per_s()
-    shares['poison'] = POISON_PER_S / normal_per_s * len(TEAMS)
+    weights['poison'] = POISON_PER_S / normal_per_s * len(TEAMS)
     until_ms = case.warm_up_ms + case.measured_ms
     behaviour = Behaviour(
         guarded=case.guarded,
@@ -457,7 +465,7 @@
     )
     fleet = Fleet(scored, bounded_gate, NOMINAL, behaviour, case.warm_up_ms)
     workload = Workload(
-        shares,
+        weights,
         ENTRY_SHARES,
         (phase(until_ms, NORMAL_LOAD),),
         start_ms_by_team={'poison': case.warm_up_ms},
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,7 +1,8 @@
-"""Overshoot and unused share of teams' limits, leased against a static split.
+"""Overshoot and unused part of team limits: leased shares and a static split.
 
 Run ``python -m benchmarks.shares [ENTRIES TEAMS]``. The real code runs in
-virtual time; each team's callers reach a few entries, and others every 20 s.
+virtual time. Each team's callers use a few entries and move to other entries
+every 20 s.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True)
 class StaticView:
-    """Entries that all answer."""
+    """Membership view in which all entries are responsive."""
 
     entries: tuple[str, ...]
 
@@ -45,19 +46,22 @@
         return self.entries
 
     def reachable_fraction(self) -> float:
-        """Return that all answer."""
+        """Return 1, since all entries are reachable."""
         return 1
 
 
 @dataclass
 class Tally:
-    """Admitted and offered requests by window and team."""
+    """Counts of admitted and offered requests by window and team."""
 
     admitted: Counter[tuple[int, str]] = field(default_factory=Counter)
     offered: Counter[tuple[int, str]] = field(default_factory=Counter)
 
     def overshoot(self, limit_by_team: dict[str, float]) -> float:
-        """Return the worst window of a large team over its limit, less 1."""
+        """Return the highest ratio of admitted to allowed requests, minus 1.
+
+        Only teams whose limit allows a request in every step are counted.
+        """
         seconds = WINDOW_MS / 1000
         ratios = [
             count / (limit_by_team[team] * seconds)
@@ -67,7 +71,7 @@
         return max(ratios, default=1) - 1
 
     def unused(self, limit_by_team: dict[str, float]) -> float:
-        """Return the part of what limits and demand allow that is refused."""
+        """Return the refused fraction of what limits and demand allow."""
         seconds = WINDOW_MS / 1000
         allowed = sum(
             min(count, limit_by_team[team] * seconds)
@@ -80,10 +84,10 @@
         return 1 - used / allowed
 
     def unused_large(self, limit_by_team: dict[str, float]) -> float:
-        """Return `unused` of the large teams alone."""
+        """Return `unused` for the large teams only."""
         large = frozenset(list(limit_by_team)[:LARGE_TEAMS])
-        only = Tally(_of(self.admitted, large), _of(self.offered, large))
-        return only.unused(limit_by_team)
+        tally = Tally(_of(self.admitted, large), _of(self.offered, large))
+        return tally.unused(limit_by_team)
 
 
 def _of(
@@ -96,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """Figures of one size; rates in bytes per second of one entry."""
+    """Figures of one cluster size; rates are bytes per second per entry."""
 
     entries: int
     teams: int
@@ -114,14 +118,17 @@
 def make_teams(
     team_count: int, requests_per_s: float
 ) -> tuple[list[Team], list[float]]:
-    """Return teams by falling demand, and that demand in requests per s."""
+    """Return teams by decreasing demand, and their demands in requests/s.
+
+    Large teams demand more than their limits, the others half of theirs.
+    """
     weights = [1 / (rank + 1) for rank in range(team_count)]
     scale = requests_per_s / sum(weights)
     demands = [weight * scale for weight in weights]
     teams = []
     for rank, demand in enumerate(demands):
-        over = LARGE_OVER_LIMIT if rank < LARGE_TEAMS else 0.5
-        limit = max(1, demand / over)
+        demand_ratio = LARGE_OVER_LIMIT if rank < LARGE_TEAMS else 0.5
+        limit = max(1, demand / demand_ratio)
         teams.append(Team(f't{rank}', requests_per_s=limit))
     return teams, demands
 
@@ -136,11 +143,11 @@
     limits = []
     for entry in entries:
         transport = network.transport(entry)
-        one = TeamLimits(transport, clock, StaticView(entries))
-        one.apply_version(version)
-        transport.start(one.on_message)
-        limits.append(one)
-    tasks = [asyncio.create_task(one.run()) for one in limits]
+        team_limits = TeamLimits(transport, clock, StaticView(entries))
+        team_limits.apply_version(version)
+        transport.start(team_limits.on_message)
+        limits.append(team_limits)
+    tasks = [asyncio.create_task(team_limits.run()) for team_limits in limits]
     static = _StaticSplit(teams, entry_count)
     leased_tally, static_tally = Tally(), Tally()
     source = random.Random(3)
@@ -196,7 +203,7 @@
 
 
 class _StaticSplit:
-    """An equal part of each limit at each entry."""
+    """Baseline that gives each entry an equal part of each limit."""
 
     def __init__(self, teams: list[Team], entry_count: int) -> None:
         self._teams = teams
@@ -204,7 +211,7 @@
         self._usage: dict[tuple[int, int], ShareUsage] = {}
 
     def try_admit(self, rank: int, entry: int, now_ms: float) -> bool:
-        """Return whether the part of this entry has room."""
+        """Return whether the part of this entry admits one more request."""
         usage = self._usage.get((rank, entry))
         if usage is None:
             usage = ShareUsage(self._teams[rank], self._entry_count, now_ms)
@@ -218,13 +225,13 @@
 
 
 def measure(entry_count: int, team_count: int) -> Figures:
-    """Return the figures of one size."""
+    """Measure one cluster size."""
     return run_virtual(_measure(entry_count, team_count))
 
 
 def main() -> None:
     """Print the figures of one size."""
-    sizes = [int(one) for one in sys.argv[1:]] or [32, 10_000]
+    sizes = [int(argument) for argument in sys.argv[1:]] or [32, 10_000]
     row = measure(*sizes)
     print(f'{row.entries} entries, {row.teams} teams')
     print('way | overshoot | unused | unused of the 20 large teams')
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,8 +1,8 @@
-"""Long run with deaths of engines: every answer whole, memory flat.
+"""Soak test with engine deaths: complete answers, no memory growth.
 
-Run ``python -m benchmarks.soak --minutes 10``. One entry, agents and engine
-stand-ins run as processes of their own; every `KILL_INTERVAL_S` one engine
-dies and is revived half an interval later.
+Run ``python -m benchmarks.soak --minutes 10``. One entry, the agents and the
+engine stand-ins run in separate processes. Every `KILL_INTERVAL_S` one engine
+dies; it is revived half an interval later.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 @dataclass
 class SoakFigures:
-    """Answers by how they ended, and RSS samples of each process."""
+    """Answers by outcome, and RSS samples of each process in MB."""
 
     whole: int = 0
     refused: int = 0
@@ -64,16 +64,19 @@
     rss_by_process: dict[str, Points] = field(default_factory=dict)
 
     def slopes(self) -> dict[str, Fit]:
-        """Return MB over minutes of each process after the warm-up."""
+        """Return the fit of RSS in MB over minutes for each process.
+
+        The first `WARM_UP_SHARE` of the samples is left out.
+        """
         fits = {}
         for name, points in self.rss_by_process.items():
-            kept = points[int(len(points) * WARM_UP_SHARE) :]
-            if len(kept) > 1:
-                fits[name] = Fit.from_points(kept)
+            steady = points[int(len(points) * WARM_UP_SHARE) :]
+            if len(steady) > 1:
+                fits[name] = Fit.from_points(steady)
         return fits
 
     def faults(self) -> list[str]:
-        """Return what speaks against a pass."""
+        """Return the faults that make the soak test fail."""
         faults = list(self.failed)
         for name, fit in self.slopes().items():
             if fit.slope > MAX_SLOPE_MB_PER_MINUTE:
@@ -86,7 +89,7 @@
 
 
 async def run(minutes: float, figures: SoakFigures) -> None:
-    """Run the soak; `figures` also hold what a broken run has measured."""
+    """Run the soak test; add to `figures`, which a failed run keeps."""
     async with contextlib.AsyncExitStack() as stack:
         folder = pathlib.Path(stack.enter_context(settings_folder()))
         engines = []
@@ -151,10 +154,10 @@
 
 
 def _is_refusal(answer: bytes) -> bool:
-    """Return whether an answer says, before any token, that nothing ran.
+    """Return whether the request was refused before it ran anywhere.
 
-    The status of a stream is sent before an upstream is found, so a refusal
-    may also come as an error event.
+    The status of a stream is sent before an upstream is chosen, so a refusal
+    may also arrive as an error event.
     """
     if b' 200 ' not in answer[:20]:
         return True
@@ -202,7 +205,7 @@
     body = msgspec.json.encode(Fault(fault))
     answer = await _post(port, '/control', '', body)
     if b' 200 ' not in answer[:20]:
-        raise RuntimeError(f'control answered {answer!r}')
+        raise RuntimeError(f'engine control sent {answer!r}, expected 200')
 
 
 async def _sample(
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,4 +1,4 @@
-"""Load balance and churn of three ways to form subsets.
+"""Load balance and churn of three subset selection algorithms.
 
 Run ``python -m benchmarks.subsets``.
 """
@@ -30,7 +30,11 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """Load over the mean load, and pairs changed over the fair minimum."""
+    """Figures of one algorithm.
+
+    Loads are relative to the mean load; churn is the number of changed pairs
+    over the least number that an even distribution has to change.
+    """
 
     way: str
     pairs: int
@@ -57,7 +61,7 @@
 
 
 def by_upstream(entries: Places, upstreams: Places) -> Pairs:
-    """Upstreams select entries: the way of the product."""
+    """Let each upstream select entries, as the product does."""
     return {
         (entry.address, agent)
         for entry in entries
@@ -66,7 +70,7 @@
 
 
 def by_entry(entries: Places, upstreams: Places) -> Pairs:
-    """Entries select the upstreams with the highest scores."""
+    """Let each entry select the upstreams with the highest hash scores."""
     agents_by_region: dict[str, list[str]] = {}
     for place in upstreams:
         agents_by_region.setdefault(place.region, []).append(place.address)
@@ -86,15 +90,17 @@
 
 
 def by_slice(entries: Places, upstreams: Places) -> Pairs:
-    """Cut rounds of shuffled upstreams into one slice per entry."""
+    """Shuffle the upstreams per round; give each entry of a round a slice."""
     pairs: Pairs = set()
     for region in _regions(entries):
-        own = sorted(one.address for one in entries if one.region == region)
+        local_entries = sorted(
+            place.address for place in entries if place.region == region
+        )
         agents = sorted(
-            one.address for one in upstreams if one.region == region
+            place.address for place in upstreams if place.region == region
         )
         per_round = max(1, len(agents) // SIZES.upstreams_per_entry)
-        for index, entry in enumerate(own):
+        for index, entry in enumerate(local_entries):
             shuffled = agents.copy()
             random.Random(index // per_round).shuffle(shuffled)
             start = index % per_round * SIZES.upstreams_per_entry
@@ -104,7 +110,7 @@
 
 
 def loads(pairs: Pairs, upstreams: Places) -> list[float]:
-    """Return each upstream's load if entries spread one unit evenly."""
+    """Return each upstream's load if each entry spreads one unit evenly."""
     sizes_by_entry = Counter(entry for entry, _ in pairs)
     load_by_agent = {place.address: float(0) for place in upstreams}
     for entry, agent in pairs:
@@ -119,10 +125,14 @@
     ratios: list[float] = []
     for region in _regions(upstreams):
         local = [place for place in upstreams if place.region == region]
-        near = {one.address for one in entries if one.region == region}
-        own = loads({pair for pair in pairs if pair[0] in near}, local)
-        mean = statistics.fmean(own)
-        ratios.extend(load / mean for load in own)
+        local_entries = {
+            place.address for place in entries if place.region == region
+        }
+        local_loads = loads(
+            {pair for pair in pairs if pair[0] in local_entries}, local
+        )
+        mean = statistics.fmean(local_loads)
+        ratios.extend(load / mean for load in local_loads)
     return ratios
 
 
@@ -131,7 +141,7 @@
 
 
 def measure(way: Way, name: str, entries: Places, upstreams: Places) -> Figures:
-    """Return the figures of one way for one model."""
+    """Measure one algorithm for one model."""
     pairs = way(entries, upstreams)
     ratios = relative_loads(pairs, entries, upstreams)
     sizes = Counter(entry for entry, _ in pairs).values()
@@ -163,14 +173,14 @@
 
 
 def replace_address(place: PlaceSettings, address: str) -> PlaceSettings:
-    """Return the place with another address."""
+    """Return a copy of a place with another address."""
     return PlaceSettings(address, place.region, place.failure_domain)
 
 
 def compare(
     entry_count: int = 320, upstream_count: int = 12_000
 ) -> list[Figures]:
-    """Return the figures of the three ways for one model of five."""
+    """Measure the three algorithms for one of the five models."""
     entries = make_places('1', entry_count)
     upstreams = make_places('2', upstream_count // MODELS)
     return [
--- a/benchmarks/test_ack_traffic.py
+++ b/benchmarks/test_ack_traffic.py
@@ -1,4 +1,4 @@
-"""Acknowledgements stay within half of a node's budget for control."""
+"""Acknowledgements use at most half of the control traffic budget."""
 
 from benchmarks.ack_traffic import AGENTS, STREAMS, measure
 from bergamotthread.testing.virtual_loop import run_virtual
--- a/benchmarks/test_calls.py
+++ b/benchmarks/test_calls.py
@@ -1,7 +1,7 @@
-"""Cost of guarded calls: writes, latency, and a limited or absent store.
+"""Cost of guarded calls, also with a slow or unavailable store.
 
-All times are virtual; `python -m pytest benchmarks/test_calls.py -s` prints
-the figures.
+Counts store accesses and latency in virtual time. Run
+``python -m pytest benchmarks/test_calls.py -s`` to print the figures.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass
 class Outcomes:
-    """Latencies of answered calls and refusals, in milliseconds."""
+    """Latencies of answered and refused calls in ms, and keys not run."""
 
     answered_ms: list[float] = field(default_factory=list)
     refused_ms: list[float] = field(default_factory=list)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize('table_ms', [5, 40])
 def test_cost_of_a_guarded_call(table_ms: float) -> None:
-    """Measure a call that meets no fault."""
+    """A call without a fault stays within the writes and latency allowed."""
     writes, reads, latencies = run_virtual(_one_call(table_ms))
     print(
         f'table {table_ms} ms: {writes} writes, {reads} reads, '
@@ -107,7 +107,7 @@
 
 
 def test_cost_of_a_replay() -> None:
-    """Measure a repeated key: a write that conflicts, and a read."""
+    """A repeated key costs one conflicting write and one read."""
     writes, reads = run_virtual(_replay())
     print(f'replay: {writes} conflicting write, {reads} read')
     assert (writes, reads) == (1, 1)
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize('calls_per_s', [100, 300])
 def test_store_with_limited_writes(calls_per_s: int) -> None:
-    """Measure calls at a store that serves 500 writes a second."""
+    """Calls run once and end in time at a store of 500 writes a second."""
     group, outcomes = run_virtual(_limited_store(calls_per_s))
     answered = sorted(outcomes.answered_ms)
     refused = sorted(outcomes.refused_ms)
@@ -180,7 +180,7 @@
 
 
 def test_an_hour_without_the_store() -> None:
-    """Measure guarded and idempotent calls while the store is down."""
+    """Without the store, guarded calls are refused, idempotent ones run."""
     group, outcomes, plain_ms = run_virtual(_hour_without_store())
     print(
         f'hour without the store: {len(outcomes.refused_ms)} guarded calls '
@@ -206,7 +206,7 @@
 
 
 def test_processor_time_of_a_guarded_call() -> None:
-    """Print the processor time of both ends and the memory stand-ins."""
+    """Print the CPU time of caller, service and in-memory stand-ins."""
     cost_s = run_virtual(_many_calls(500))
     print(f'guarded call: {cost_s * 1e6:.0f} us of processor time, all ends')
     assert cost_s > 0
--- a/benchmarks/test_data_path.py
+++ b/benchmarks/test_data_path.py
@@ -1,7 +1,7 @@
-"""Relay of an entry: counted work, and cost against a bare loop.
+"""Relay of an entry: number of writes, and CPU cost against a baseline.
 
-`python -m benchmarks.data_path` measures the processes; these tests give the
-same verdict on every run.
+`python -m benchmarks.data_path` measures real processes; these tests give the
+same result on every run.
 """
 
 from __future__ import annotations
@@ -19,25 +19,26 @@
 STREAMS = 240
 FLUSHES = 20
 ATTEMPTS = 5
-# An event may cost 1e6 / 25,000 = 40 us; the baseline takes some 2 us of it.
+# The target of 25,000 tokens/s allows 1e6 / 25,000 = 40 us per event; the
+# baseline takes about 2 us.
 MAX_BASELINES = 20
 
 
 def test_one_body_for_each_flush_and_stream() -> None:
-    """Each flush of a stream is written once."""
+    """Each flush of a stream is written to the caller once."""
     counts = asyncio.run(relay(STREAMS, FLUSHES))
     assert counts.frames == STREAMS * FLUSHES
     assert counts.bodies == counts.frames
 
 
 def test_tokens_that_wait_leave_in_one_body() -> None:
-    """Flushes that have come before the stream's turn are joined."""
+    """Flushes that arrive before the stream's task runs are sent as one."""
     counts = asyncio.run(relay(STREAMS, FLUSHES, batches_at_once=4))
     assert counts.bodies == counts.frames / 4
 
 
 def test_relay_costs_bounded_multiple_of_baseline() -> None:
-    """The least of some ratios, since a busy machine only adds."""
+    """The least of several ratios counts; other load only increases them."""
     ratios = [
         asyncio.run(relay(STREAMS, FLUSHES)).cpu_s / baseline(STREAMS, FLUSHES)
         for _ in range(ATTEMPTS)
@@ -46,7 +47,7 @@
 
 
 def test_flusher_waits_for_output_or_interval() -> None:
-    """New output ends the wait at once, its lack after the interval."""
+    """New output ends the wait at once; without output the interval does."""
 
     async def check() -> None:
         clock = Clock.from_loop(asyncio.get_running_loop())
--- a/benchmarks/test_detection.py
+++ b/benchmarks/test_detection.py
@@ -1,4 +1,4 @@
-"""Bounds of the detection, from the targets."""
+"""Bounds on false suspicions and detection time, from the targets."""
 
 import pytest
 
@@ -25,7 +25,7 @@
     limits: DetectorLimits,
     signal: Signal,
 ) -> None:
-    """Pauses below the floor cost nothing, and a loss is seen in time."""
-    found = measure_suspicions(limits, signal)
-    assert not found.per_hour
-    assert found.notice_ms < LOSS_P95_MS
+    """Pauses below the floor raise no suspicion; a loss is detected in time."""
+    suspicions = measure_suspicions(limits, signal)
+    assert not suspicions.per_hour
+    assert suspicions.notice_ms < LOSS_P95_MS
--- a/benchmarks/test_explanations.py
+++ b/benchmarks/test_explanations.py
@@ -1,4 +1,4 @@
-"""CPU time of recording a refusal and writes to the store."""
+"""CPU time of recording a refusal, and store writes for explanations."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 async def _refuse_steadily() -> tuple[float, float]:
-    """Return store writes per second and CPU microseconds a refusal."""
+    """Return store writes per second and CPU microseconds per refusal."""
     clock = Clock.from_loop(asyncio.get_running_loop())
     platform = MemoryPlatform(clock)
     explanations = Explanations(MemoryObjectStore(platform), clock, 'writer')
@@ -54,7 +54,7 @@
 def test_writes_of_all_entries_fit_their_share(
     benchmark: BenchmarkFixture,
 ) -> None:
-    """320 entries that all refuse use a fifth of the store's writes."""
+    """If all 320 entries refuse, a fifth of the store's writes suffices."""
     writes_per_s, cpu_us = run_virtual(_refuse_steadily())
     benchmark(msgspec.json.encode, _REFUSAL)
     benchmark.extra_info['writes_per_s_of_320'] = writes_per_s * ENTRIES
--- a/benchmarks/test_membership.py
+++ b/benchmarks/test_membership.py
@@ -1,4 +1,4 @@
-"""Bounds of docs/design/membership.md, under 10% loss and 30 s pauses."""
+"""Bounds of docs/design/membership.md, with 10% loss and 30 s pauses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize('size', [4, 16])
 def test_members_agree_and_nobody_is_removed_falsely(size: int) -> None:
-    """A paused member stays, a crashed one goes, a new one is known."""
+    """Members keep a paused, remove a crashed and learn of a new member."""
     figures = measure(size)
     assert figures.false_removals == 0
     assert figures.highest_rate <= BYTES_PER_S
--- a/benchmarks/test_metrics.py
+++ b/benchmarks/test_metrics.py
@@ -1,4 +1,4 @@
-"""CPU time of recording a duration, against a bare histogram."""
+"""CPU time of recording a duration, compared with a bare histogram."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 VALUES = 40_960
 TOKENS_PER_S_PER_NODE = 6560
 
-_DURATIONS_MS = [20 + (one * 7919 % 400) / 10 for one in range(VALUES)]
+_DURATIONS_MS = [20 + (index * 7919 % 400) / 10 for index in range(VALUES)]
 
 
 def _cpu_s(record: Callable[[float], object]) -> float:
@@ -27,7 +27,7 @@
 def test_buffered_record_beats_bare_histogram(
     benchmark: BenchmarkFixture,
 ) -> None:
-    """Folding equal values together costs less than recording each."""
+    """Buffering equal values costs less CPU than recording each value."""
     bare = HdrHistogram(1, 36_000_000, 2)
     percentiles = Percentiles(Clock.from_system())
     bare_s = min(_cpu_s(bare.record_value) for _ in range(3))
--- a/benchmarks/test_publication_time.py
+++ b/benchmarks/test_publication_time.py
@@ -1,4 +1,4 @@
-"""Bounds on publication from the stated targets, in virtual time."""
+"""Bounds on publication, from the targets, in virtual time."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize('delay_ms', [2, 80])
 @pytest.mark.parametrize('loss', [0, 0.2])
 def test_in_force_within_target(delay_ms: float, loss: float) -> None:
-    """Accepted within 5 s, and no holder refuses meanwhile."""
+    """Versions are accepted within 5 s and no holder refuses meanwhile."""
     measured = measure(Link(delay_ms, loss), publications=4)
     assert max(measured.in_force_ms) <= IN_FORCE_TARGET_MS
     assert max(measured.accepted_ms) <= IN_FORCE_TARGET_MS
@@ -40,13 +40,13 @@
 
 
 def test_reads_leave_the_store_to_others() -> None:
-    """A tenth of the store's reads carries all processes' leases."""
+    """Reads that renew all processes' leases use a tenth of the store's."""
     measured = measure(Link(2, 0, holders_per_region=8), publications=1)
     assert measured.reads_per_s <= STORE_READS_PER_S / 10
 
 
 def test_changes_fit_the_control_budget() -> None:
-    """10,000 changes a day cost less than 1.5% of a core and few bytes."""
+    """10,000 changes a day take at most 1.5% of a core, and few bytes each."""
     state = VersionState(1, 'a' * 24, 'd' * 64, make_set())
     changed = change_one_team(state.object_set)
     publication = make_publication(state, changed)
--- a/benchmarks/test_resume_policy.py
+++ b/benchmarks/test_resume_policy.py
@@ -1,4 +1,4 @@
-"""Bounds of the resume, from the targets and against the naive baseline."""
+"""Bounds on resume latency, from the targets and against a restart."""
 
 import functools
 
@@ -39,7 +39,7 @@
     ],
 )
 def test_output_goes_on_in_time(fault: Fault, bound_ms: float) -> None:
-    """Output goes on within the targets' times."""
+    """Output resumes within the target after each kind of fault."""
     use = _measure(ON_DEMAND_CROSS, fault)
     assert not use.refused
     assert use.resume_ms
@@ -47,7 +47,7 @@
 
 
 def test_resume_beats_the_restart_from_zero() -> None:
-    """A resume takes less than half the time and computes less."""
+    """A resume takes less than half the time of a restart and decodes less."""
     naive = _measure(NAIVE, Fault.ENGINE_DEATH)
     resumed = _measure(ON_DEMAND_CROSS, Fault.ENGINE_DEATH)
     naive_ms = percentile(naive.resume_ms, MEDIAN)
@@ -56,7 +56,7 @@
 
 
 def test_warm_standby_goes_on_sooner() -> None:
-    """The warmed prefix shortens the resume."""
+    """A warm standby resumes sooner than an upstream chosen on demand."""
     cold = _measure(ON_DEMAND_CROSS, Fault.ENGINE_DEATH)
     warm = _measure(WARM_CROSS, Fault.ENGINE_DEATH)
     warm_ms = percentile(warm.resume_ms, MEDIAN)
--- a/benchmarks/test_routing.py
+++ b/benchmarks/test_routing.py
@@ -1,6 +1,7 @@
-"""Regression bounds of routing, from the targets or against baselines.
+"""Regression bounds of the routing scenarios.
 
-Short variants in virtual time; `python -m benchmarks.routing` runs in full.
+Bounds come from the targets or from baselines. These are short variants in
+virtual time; `python -m benchmarks.routing` runs the full scenarios.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 def test_normal_load_meets_the_targets() -> None:
-    """First token and time between tokens at 80% load."""
+    """At 80% load, p95 of first token and between tokens meet the targets."""
     row = _row('scored')
     assert row.first_token_ms[1] <= FIRST_TOKEN_TARGET_MS
     assert row.between_p95_ms <= BETWEEN_TOKENS_TARGET_MS
@@ -61,21 +62,21 @@
     ],
 )
 def test_scored_is_no_worse_than(baseline: str, warm_up_ms: float) -> None:
-    """Prefix affinity is compared once its caches are warm."""
-    other = _row(baseline, warm_up_ms)
-    own = _row('scored', warm_up_ms)
-    assert own.first_token_ms[1] <= 1.1 * other.first_token_ms[1]
-    assert own.cross_region_mb < other.cross_region_mb
+    """Prefix affinity has a longer warm-up, since it needs full caches."""
+    baseline_row = _row(baseline, warm_up_ms)
+    scored_row = _row('scored', warm_up_ms)
+    assert scored_row.first_token_ms[1] <= 1.1 * baseline_row.first_token_ms[1]
+    assert scored_row.cross_region_mb < baseline_row.cross_region_mb
 
 
 def test_size_term_balances_the_caches() -> None:
-    """The fullest cache is no fuller with the term for cache tokens."""
+    """The cost of KV cache use does not make the KV caches less balanced."""
     by_count = _row('scored, no size term')
     assert _row('scored').imbalance <= by_count.imbalance
 
 
 def test_loss_of_a_fifth_is_resumed_in_time() -> None:
-    """Resumption and survivors after the loss of a failure domain."""
+    """After the loss of a failure domain, all resume and others stay fast."""
     row = run_loss(LossCase(seeds=(7,), warm_up_ms=30_000))
     assert row.unresumed == 0
     assert row.resume_ms[1] <= RESUME_TARGET_MS
@@ -83,7 +84,7 @@
 
 
 def test_scattered_loss_noticed_late_is_resumed_in_time() -> None:
-    """A fifth of the upstreams all over the fleet, noticed after 1 s."""
+    """A fifth of the upstreams in all domains dies, detected after 1 s."""
     case = LossCase(scattered=True, seeds=(7,), warm_up_ms=30_000)
     row = run_loss(case)
     assert row.unresumed == 0
@@ -91,7 +92,7 @@
 
 
 def test_fleet_recovers_from_an_overload() -> None:
-    """Back at the target within 10 s of the return to 80% load."""
+    """The target is met again within 10 s of the return to 80% load."""
     case = OverloadCase(
         before_ms=10_000,
         overload_ms=15_000,
@@ -107,7 +108,7 @@
 
 
 def test_greedy_team_moves_no_other() -> None:
-    """20 times its share moves the others by at most 10%."""
+    """A team at 20 times its share raises the others' p95 by at most 10%."""
     quiet = run_fairness(_fairness_case(1))
     greedy = run_fairness(_fairness_case(20))
     assert greedy.small_p95_ms <= 1.1 * quiet.small_p95_ms
@@ -115,7 +116,7 @@
 
 
 def test_poison_kills_a_bounded_number() -> None:
-    """Deaths are bounded and nobody else is refused or lost."""
+    """Engine deaths are bounded; no other request is refused or lost."""
     row = run_poison(PoisonCase(measured_ms=30_000, warm_up_ms=15_000))
     assert row.refused_poison > 0
     assert row.refused_innocent == 0
--- a/benchmarks/test_shares.py
+++ b/benchmarks/test_shares.py
@@ -9,7 +9,7 @@
 
 
 def test_limits_hold_and_more_is_used_than_static() -> None:
-    """Moving demand neither passes a limit nor leaves as much unused."""
+    """With moving demand, leases keep the limits and use more than a split."""
     figures = measure(8, 200)
     assert figures.overshoot <= MAX_OVERSHOOT
     assert figures.unused_large <= figures.static_unused_large / 2
--- a/benchmarks/test_subsets.py
+++ b/benchmarks/test_subsets.py
@@ -1,4 +1,4 @@
-"""Bounds of docs/design/subsets.md for the way that the product uses."""
+"""Bounds of docs/design/subsets.md for the product's subset selection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_load_and_churn_at_full_size() -> None:
-    """Every upstream is used, load is even, and churn stays local."""
+    """All upstreams are used, load is balanced and churn stays bounded."""
     entries = make_places('1', 320)
     upstreams = make_places('2', 12_000 // MODELS)
     figures = measure(by_upstream, 'by upstream', entries, upstreams)
--- a/benchmarks/test_transport.py
+++ b/benchmarks/test_transport.py
@@ -1,6 +1,7 @@
-"""CPU time that receiving takes, against one task switch a message.
+"""CPU time of receiving messages, compared with one task switch each.
 
-Run ``pytest benchmarks/test_transport.py --benchmark-enable -s`` for figures.
+Run ``pytest benchmarks/test_transport.py --benchmark-enable -s`` for the
+figures.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 
 class _Arrivals:
-    """Counts envelopes and wakes a waiter at a total."""
+    """Counts envelopes and sets `complete` at `total`."""
 
     def __init__(self, total: int) -> None:
         self.total = total
@@ -108,10 +109,10 @@
 
 
 def test_drain_beats_task_switches(benchmark: BenchmarkFixture) -> None:
-    """Sending and receiving by drain takes less CPU than by tasks."""
+    """Draining the socket takes less CPU than one task switch a message."""
     rounds = [asyncio.run(_compare()) for _ in range(3)]
-    drain_s = min(one for one, _ in rounds)
-    task_s = min(other for _, other in rounds)
+    drain_s = min(round_drain_s for round_drain_s, _ in rounds)
+    task_s = min(round_task_s for _, round_task_s in rounds)
     tokens = MESSAGES * STREAMS_PER_BATCH
     benchmark.extra_info['tokens_per_cpu_s'] = tokens / drain_s
     benchmark.extra_info['messages_per_cpu_s'] = MESSAGES / drain_s
@@ -122,6 +123,6 @@
 
 @pytest.mark.parametrize('target', [TOKENS_PER_S_TARGET])
 def test_one_entry_holds_the_target(target: int) -> None:
-    """Both ends of the transport move the target within one CPU second."""
+    """One CPU second suffices to send and receive the target's tokens."""
     drain_s, _ = asyncio.run(_compare())
     assert MESSAGES * STREAMS_PER_BATCH / drain_s >= target
--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -1,4 +1,4 @@
-"""Regions, failure domains and agents of the benchmarks' fleet."""
+"""Regions, failure domains and agents of the simulated fleet."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 
 
 def published_fleet() -> PublishedVersion:
-    """Return a version with all agents of the fleet."""
+    """Return a published version that lists all agents of the fleet."""
     object_set = ObjectSet(
         regions=(
             Region('r0', EGRESS_PRICE_PER_GB),
             Region('r1', EGRESS_PRICE_PER_GB),
         ),
-        failure_domains=tuple(FailureDomain(one, one[:2]) for one in DOMAINS),
+        failure_domains=tuple(
+            FailureDomain(domain, domain[:2]) for domain in DOMAINS
+        ),
         upstreams=tuple(
             Upstream(
                 name=agent,
@@ -49,4 +51,4 @@
     return tuple(f'{domain}a{index}' for index in range(AGENTS_PER_DOMAIN))
 
 
-ALL_AGENTS = tuple(agent for one in DOMAINS for agent in agents_of(one))
+ALL_AGENTS = tuple(agent for domain in DOMAINS for agent in agents_of(domain))
--- a/benchmarks/version_size.py
+++ b/benchmarks/version_size.py
@@ -1,6 +1,6 @@
-"""Bytes and processor time of versions at the size to design for.
+"""Bytes and CPU time of published versions at the full design size.
 
-Run `python -m benchmarks.version_size`.
+Run ``python -m benchmarks.version_size``.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
 
 
 def make_set(upstreams: int = UPSTREAMS, teams: int = TEAMS) -> ObjectSet:
-    """Return a valid set with that many upstreams and teams."""
+    """Return a valid object set with that many upstreams and teams."""
     pins = tuple(Pin(f'model-{number}', '2026-09') for number in range(MODELS))
     return ObjectSet(
-        regions=tuple(Region(f'region-{one}') for one in range(REGIONS)),
+        regions=tuple(Region(f'region-{number}') for number in range(REGIONS)),
         failure_domains=tuple(
-            FailureDomain(f'domain-{one}', f'region-{one % REGIONS}')
-            for one in range(FAILURE_DOMAINS)
+            FailureDomain(f'domain-{number}', f'region-{number % REGIONS}')
+            for number in range(FAILURE_DOMAINS)
         ),
         teams=tuple(_make_team(number) for number in range(teams)),
         models=tuple(Model(pin.model, (pin.version,)) for pin in pins),
@@ -64,28 +64,34 @@
         ),
         upstreams=tuple(
             Upstream(
-                f'runner-{one}',
-                f'10.{one // 62500}.{one // 250 % 250}.{one % 250 + 1}:7100',
-                f'domain-{one % FAILURE_DOMAINS}',
-                (pins[one % MODELS],),
+                f'runner-{number}',
+                f'10.{number // 62500}.{number // 250 % 250}'
+                f'.{number % 250 + 1}:7100',
+                f'domain-{number % FAILURE_DOMAINS}',
+                (pins[number % MODELS],),
             )
-            for one in range(upstreams)
+            for number in range(upstreams)
         ),
     )
 
 
 def make_publication(state: VersionState, changed: ObjectSet) -> Publication:
-    """Return the publication that turns a state into a changed set."""
+    """Return the publication that changes `state` to the set `changed`."""
     changes = diff_sets(state.object_set, changed)
-    bare = Publication(state.version + 1, 'b' * 24, 'a' * 24, 'ana', 0, changes)
-    # Numbers are encoded as they come back from JSON, as the digest is.
-    bare = msgspec.json.decode(encode_record(bare), type=Publication)
-    digest = bare.digest_after(state.digest)
-    return msgspec.structs.replace(bare, digest=digest)
+    publication = Publication(
+        state.version + 1, 'b' * 24, 'a' * 24, 'ana', 0, changes
+    )
+    # Readers compute the digest from the decoded record, in which JSON may
+    # have changed the type of numbers.
+    publication = msgspec.json.decode(
+        encode_record(publication), type=Publication
+    )
+    digest = publication.digest_after(state.digest)
+    return msgspec.structs.replace(publication, digest=digest)
 
 
 def change_one_team(object_set: ObjectSet) -> ObjectSet:
-    """Return the set with another weight of one team."""
+    """Return the object set with the weight of one team changed."""
     teams = list(object_set.teams)
     teams[7] = msgspec.structs.replace(teams[7], weight=3)
     return msgspec.structs.replace(object_set, teams=tuple(teams))
@@ -95,18 +101,18 @@
     action: Callable[[], _Answer],
     repeats: int = 3,
 ) -> tuple[float, _Answer]:
-    """Return the least processor time of a few runs, and the last answer."""
+    """Return the least CPU time of `repeats` runs, and the last result."""
     least_ms = float('inf')
     for _ in range(repeats):
         started_s = time.process_time()
-        answer = action()
+        result = action()
         elapsed_ms = (time.process_time() - started_s) * MS_PER_S
         least_ms = min(least_ms, elapsed_ms)
-    return least_ms, answer
+    return least_ms, result
 
 
 def main() -> None:
-    """Print bytes and processor times."""
+    """Print bytes and CPU times."""
     object_set = make_set()
     state = VersionState(1, 'a' * 24, 'd' * 64, object_set)
     publication = make_publication(state, change_one_team(object_set))
@@ -120,7 +126,9 @@
     index_ms, _ = processor_ms(
         lambda: PublishedVersion.from_object_set(2, after.object_set)
     )
-    share = CHANGES_PER_DAY * (follow_ms + index_ms) / MS_PER_S / S_PER_DAY
+    core_fraction = (
+        CHANGES_PER_DAY * (follow_ms + index_ms) / MS_PER_S / S_PER_DAY
+    )
     print(f'set: {UPSTREAMS} upstreams, {TEAMS} teams')
     print(
         f'snapshot: {len(encoded)} bytes, one change: '
@@ -132,7 +140,7 @@
     )
     print(
         f'follow one change {follow_ms:.2f} ms, index {index_ms:.2f} ms, '
-        f'{share:.4%} of a core at {CHANGES_PER_DAY} changes a day'
+        f'{core_fraction:.4%} of a core at {CHANGES_PER_DAY} changes a day'
     )
     print(f'memory of one version: {_held_bytes(encoded) / 2**20:.1f} MiB')
 
--- a/benchmarks/workload.py
+++ b/benchmarks/workload.py
@@ -1,4 +1,4 @@
-"""Requests of the two deployments' kind, drawn with a fixed seed."""
+"""Requests like those of the two deployments, drawn with a fixed seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One request; hashes of its own blocks are unique to it."""
+    """One request.
+
+    The first blocks of the prompt belong to a template that requests of the
+    team share; the hashes of the other blocks are unique to this request.
+    """
 
     generation: str
     team: str
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """Job with the time and the entry that it arrives at."""
+    """Request with its arrival time and the index of its entry."""
 
     at_ms: float
     entry: int
@@ -39,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Phase:
-    """Stretch of time with a constant rate of arrivals of all teams."""
+    """Period with a constant arrival rate, summed over all teams."""
 
     duration_ms: float
     per_s: float
@@ -52,11 +56,15 @@
     Parameters
     ----------
     share_by_team
-        Parts of the arrivals by team; they need not add up to one.
+        Relative arrival rate of each team; they need not sum to one.
     entry_shares
-        Parts of the arrivals by entry.
+        Relative arrival rate of each entry.
+    phases
+        Periods of constant load, one after the other.
+    seed
+        Seed of all random draws.
     start_ms_by_team
-        Time of the first request of teams that come late.
+        Time before which a team sends nothing; 0 for teams not listed.
     """
 
     share_by_team: dict[str, float]
@@ -66,10 +74,10 @@
     start_ms_by_team: dict[str, float] = field(default_factory=dict)
 
     def arrivals(self) -> Iterator[Arrival]:
-        """Yield all arrivals in order of time."""
+        """Yield all arrivals in order of their time."""
         draw = random.Random(self.seed)
         teams = sorted(self.share_by_team)
-        shares = [self.share_by_team[team] for team in teams]
+        weights = [self.share_by_team[team] for team in teams]
         entries = range(len(self.entry_shares))
         phase_start_ms = float(0)
         serial = 0
@@ -81,7 +89,7 @@
                 if at_ms >= phase_start_ms:
                     break
                 serial += 1
-                team = draw.choices(teams, shares)[0]
+                team = draw.choices(teams, weights)[0]
                 entry = draw.choices(entries, self.entry_shares)[0]
                 job = draw_job(draw, team, serial)
                 if at_ms >= self.start_ms_by_team.get(team, 0):
@@ -89,21 +97,21 @@
 
 
 def draw_job(draw: random.Random, team: str, serial: int) -> Job:
-    """Return one request of a team, with one of its prompt templates."""
+    """Return a random request of a team that uses one of its templates."""
     template = draw.randrange(TEMPLATES_PER_TEAM)
     shape = random.Random(f'{team}/{template}')
     shared_blocks = shape.randint(*PREFIX_BLOCKS)
-    own_blocks = draw.randint(*SUFFIX_BLOCKS)
+    unique_blocks = draw.randint(*SUFFIX_BLOCKS)
     output_tokens = int(draw.expovariate(1 / SHORT_OUTPUT_TOKENS)) + 8
     if draw.random() < LONG_SHARE:
         output_tokens = draw.randint(*LONG_OUTPUT_TOKENS)
     shared = [shape.getrandbits(62) for _ in range(shared_blocks)]
-    own = [(serial << 8) + index for index in range(own_blocks)]
+    unique = [(serial << 8) + index for index in range(unique_blocks)]
     return Job(
         generation=f'g{serial}',
         team=team,
-        prompt_tokens=(shared_blocks + own_blocks) * BLOCK_TOKENS,
+        prompt_tokens=(shared_blocks + unique_blocks) * BLOCK_TOKENS,
         shared_tokens=shared_blocks * BLOCK_TOKENS,
         output_tokens=output_tokens,
-        prefix_hashes=tuple(shared + own),
+        prefix_hashes=tuple(shared + unique),
     )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -27,19 +27,19 @@
 )
 
 
-def test_line_through_exact_points() -> None:
+def test_fit_is_exact_for_points_on_a_line() -> None:
     fit = Fit.from_points(((1, 12), (2, 14), (3, 16), (4, 18)))
     assert fit.slope == pytest.approx(2)
     assert fit.intercept == pytest.approx(10)
     assert fit.deviation == pytest.approx(0)
 
 
-def test_worst_residual() -> None:
+def test_deviation_is_worst_residual_over_mean() -> None:
     fit = Fit.from_points(((0, 0), (1, 1), (2, 0), (3, 1)))
     assert fit.deviation == pytest.approx(120)
 
 
-def test_tables_name_value_limit_and_open_rows() -> None:
+def test_tables_show_value_limit_and_unmeasured_rows() -> None:
     tables = format_tables(ROWS)
     assert '| probes | control, bytes/s | 420 | 10 + 2 per member' in tables
     assert '39 times' in tables
@@ -48,7 +48,7 @@
     assert tables.index('| 4 | leases') < tables.index('| 39 | probes')
 
 
-def test_only_the_generated_part_is_replaced() -> None:
+def test_replace_tables_keeps_text_outside_markers() -> None:
     page = 'a\n<!-- tables: begin -->\nold\n<!-- tables: end -->\nb\n'
     new = replace_tables(page, 'T')
     assert 'old' not in new
