--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,5 @@
+"""Profiles of Hypothesis: `ci` repeats the same examples in every run."""
+
 import os
 
 from hypothesis import settings
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Runs stand-ins, agents and entries as processes of their own."""
+"""Runs stand-ins, agents and entries as separate processes."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
 
 @dataclass
 class Processes:
-    """Processes started by one test; all are ended by `close`."""
+    """Processes started by one test module; `close` kills all of them."""
 
     folder: Path
     by_name: dict[str, subprocess.Popen] = field(default_factory=dict)
 
     def start(self, name: str, *arguments: str) -> subprocess.Popen:
-        """Start a process; a former one of that name is ended first."""
+        """Start a Python module as a process that logs to `<name>.log`.
+
+        A running process with the same name is killed first.
+        """
         self.end(name)
         log = (self.folder / f'{name}.log').open('wb')
         process = subprocess.Popen(
@@ -46,15 +49,16 @@
         return process
 
     def role(self, name: str, kind: str, settings: dict) -> None:
+        """Start `bergamotthread KIND` with the given settings."""
         path = self.folder / f'{name}.json'
         path.write_text(json.dumps(settings))
         self.start(name, 'bergamotthread', kind, '--settings', str(path))
 
     def end(self, name: str) -> None:
-        former = self.by_name.get(name)
-        if former is not None and former.poll() is None:
-            former.kill()
-            former.wait()
+        process = self.by_name.get(name)
+        if process is not None and process.poll() is None:
+            process.kill()
+            process.wait()
 
     def kill(self, name: str) -> None:
         self.by_name[name].send_signal(signal.SIGKILL)
@@ -69,11 +73,18 @@
 
 
 def wait_for(url: str) -> None:
-    end = time.monotonic() + _DEADLINE_S
-    while time.monotonic() < end:
+    """Wait until a GET of the URL returns status 200.
+
+    Raises
+    ------
+    TimeoutError
+        If that takes longer than 30 s.
+    """
+    end_s = time.monotonic() + _DEADLINE_S
+    while time.monotonic() < end_s:
         try:
-            with urllib.request.urlopen(url, timeout=1) as answer:
-                if answer.status == 200:
+            with urllib.request.urlopen(url, timeout=1) as response:
+                if response.status == 200:
                     return
         except (urllib.error.URLError, OSError):
             time.sleep(0.05)
@@ -82,7 +93,11 @@
 
 @dataclass
 class Deployment:
-    """Two entries and engines, and one plain service, as processes."""
+    """Two entries, three engines and one plain service as processes.
+
+    Each engine and the service has an agent of its own; a stand-in of the
+    platform's store serves all of them.
+    """
 
     processes: Processes
     platform: str = field(default_factory=free_address)
@@ -102,6 +117,7 @@
     )
 
     def start(self) -> None:
+        """Start all processes, publish objects, wait for ready entries."""
         processes = self.processes
         processes.start('platform', 'standins.platform_store', self.platform)
         processes.start('service', 'standins.service', '--listen', self.service)
@@ -119,13 +135,15 @@
             wait_for(f'http://{listen}/readyz')
 
     def publish(self) -> str:
+        """Publish the objects of the deployment as its first version."""
         objects = user_set(TERMOLAB, self.agents, [self.service_agent])
         path = self.processes.folder / 'set.json'
         path.write_bytes(msgspec.json.encode(objects))
         return self.command('publish', str(path), '--base', '0')
 
     def command(self, *arguments: str) -> str:
-        done = subprocess.run(
+        """Return the output of a command, run with the operator's key."""
+        completed = subprocess.run(
             [
                 sys.executable,
                 '-m',
@@ -141,8 +159,8 @@
             timeout=60,
             check=False,
         )
-        assert done.returncode == 0, done.stdout + done.stderr
-        return done.stdout
+        assert completed.returncode == 0, completed.stdout + completed.stderr
+        return completed.stdout
 
     def restart_entry(self, index: int) -> None:
         self._entry(index, self.entries[index])
@@ -165,7 +183,7 @@
         )
 
     def _entry(self, index: int, address: str) -> None:
-        others = [one for one in self.entries if one != address]
+        peers = [entry for entry in self.entries if entry != address]
         self.processes.role(
             f'entry{index}',
             'entry',
@@ -178,7 +196,7 @@
                     'writes_per_s': 20,
                 },
                 'keys': {'cursor_keys': [CURSOR_KEY]},
-                'peers': others,
+                'peers': peers,
             },
         )
 
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -41,39 +41,47 @@
 
 @pytest.fixture
 def memory() -> Iterator[Path]:
+    """Return an empty directory in memory (tmpfs) to unpack into."""
     path = Path(tempfile.mkdtemp(dir=_MEMORY))
     yield path
     shutil.rmtree(path)
 
 
 def _write_settings(path: Path) -> int:
-    document = json.loads((_ROOT / 'examples' / 'entry.json').read_bytes())
-    listen = free_port()
-    document['place']['address'] = free_address()
-    document['listen'] = f'127.0.0.1:{listen}'
-    path.write_text(json.dumps(document))
-    return listen
+    """Write settings of an entry and return the port that it listens on."""
+    settings = json.loads((_ROOT / 'examples' / 'entry.json').read_bytes())
+    port = free_port()
+    settings['place']['address'] = free_address()
+    settings['listen'] = f'127.0.0.1:{port}'
+    path.write_text(json.dumps(settings))
+    return port
 
 
 def _ask_health(port: int) -> bytes:
+    """Return the health response, once the port accepts connections."""
     for _ in range(_START_TIMEOUT_S * 50):
         try:
-            with socket.create_connection(('127.0.0.1', port), 1) as caller:
-                caller.sendall(b'GET /healthz HTTP/1.0\r\n\r\n')
-                return caller.recv(1000)
+            with socket.create_connection(('127.0.0.1', port), 1) as client:
+                client.sendall(b'GET /healthz HTTP/1.0\r\n\r\n')
+                return client.recv(1000)
         except ConnectionRefusedError:
             time.sleep(0.02)
-    raise AssertionError('no answer')
+    raise AssertionError('/healthz: connection refused until the timeout')
 
 
 def _mapped_files(process: psutil.Process) -> set[str]:
-    paths = {one.path for one in process.memory_maps()}
+    paths = {mapping.path for mapping in process.memory_maps()}
     return {path for path in paths if path.startswith('/')}
 
 
 def test_entry_stays_one_process(
     binary: Path, memory: Path, tmp_path: Path
 ) -> None:
+    """The binary starts no children and reads Python only from memory.
+
+    Guards against a launcher that forks, loads an installed Python or writes
+    files to the working directory.
+    """
     settings = tmp_path / 'entry.json'
     port = _write_settings(settings)
     files_before = set(tmp_path.iterdir())
@@ -82,37 +90,40 @@
         env={_VARIABLE: str(memory)},
         cwd=tmp_path,
         stderr=subprocess.DEVNULL,
-    ) as started:
-        answer = _ask_health(port)
-        process = psutil.Process(started.pid)
-        listening = [one.laddr.port for one in process.net_connections()]
+    ) as entry:
+        response = _ask_health(port)
+        process = psutil.Process(entry.pid)
+        listening = [
+            connection.laddr.port for connection in process.net_connections()
+        ]
         children = process.children(recursive=True)
-        loaded = _mapped_files(process)
-        started.terminate()
-        started.wait(_START_TIMEOUT_S)
-    assert answer.startswith(b'HTTP/1.')
+        mapped = _mapped_files(process)
+        entry.terminate()
+        entry.wait(_START_TIMEOUT_S)
+    assert response.startswith(b'HTTP/1.')
     assert (port in listening, children) == (True, [])
-    unpacked = {path for path in loaded if path.startswith(str(memory))}
+    unpacked = {path for path in mapped if path.startswith(str(memory))}
     assert any('libpython' in path for path in unpacked)
-    assert not any('python' in path for path in loaded - unpacked)
+    assert not any('python' in path for path in mapped - unpacked)
     assert set(tmp_path.iterdir()) == files_before
     assert len(list(memory.iterdir())) == 1
 
 
 def test_second_start_unpacks_nothing(binary: Path, memory: Path) -> None:
-    times = []
+    """A second start of the same build must reuse the unpacked files."""
+    modified_ns = []
     for _ in range(2):
-        shown = subprocess.run(
+        completed = subprocess.run(
             [str(binary), '--version'],
             env={_VARIABLE: str(memory)},
             capture_output=True,
             text=True,
             check=True,
         )
-        assert 'bergamotthread' in shown.stdout
+        assert 'bergamotthread' in completed.stdout
         (unpacked,) = memory.iterdir()
-        times.append(unpacked.stat().st_mtime_ns)
-    assert times[0] == times[1]
+        modified_ns.append(unpacked.stat().st_mtime_ns)
+    assert modified_ns[0] == modified_ns[1]
 
 
 @pytest.mark.parametrize(
@@ -124,9 +135,10 @@
         ('/missing', 'No such file'),
     ],
 )
-def test_other_directories_are_refused(
+def test_directory_not_in_memory_is_refused(
     binary: Path, directory: str, message: str
 ) -> None:
+    """Without a directory in memory, the binary must not unpack to a disk."""
     refused = subprocess.run(
         [str(binary), '--version'],
         env={_VARIABLE: directory} if directory else {},
@@ -137,9 +149,10 @@
     assert (refused.returncode, message in refused.stderr) == (2, True)
 
 
-def test_unpacked_directory_of_others_is_not_trusted(
+def test_unpacked_directory_writable_by_others_is_refused(
     binary: Path, memory: Path
 ) -> None:
+    """Other users could replace libraries that the binary would load."""
     command = [str(binary), '--version']
     environment = {_VARIABLE: str(memory)}
     subprocess.run(command, env=environment, check=True, capture_output=True)
@@ -151,7 +164,8 @@
     assert refused.returncode == 2
 
 
-def test_build_without_tools_says_so(tmp_path: Path) -> None:
+def test_build_without_c_compiler_names_it(tmp_path: Path) -> None:
+    """The error must name the missing tool, not end in a traceback."""
     shutil.copy(shutil.which('dirname') or '', tmp_path / 'dirname')
     built = _build(tmp_path / 'bergamotthread', str(tmp_path))
     assert built.returncode == 1
--- a/tests/test_configuration_page.py
+++ b/tests/test_configuration_page.py
@@ -1,3 +1,5 @@
+"""The page of configuration objects names every kind and field."""
+
 from pathlib import Path
 
 import msgspec
@@ -8,11 +10,11 @@
 
 PAGE = Path(__file__).parent.parent / 'docs/CONFIGURATION.md'
 STRUCTS = [
-    one
-    for one in vars(objects).values()
-    if isinstance(one, type)
-    and issubclass(one, msgspec.Struct)
-    and one.__module__ == objects.__name__
+    member
+    for member in vars(objects).values()
+    if isinstance(member, type)
+    and issubclass(member, msgspec.Struct)
+    and member.__module__ == objects.__name__
 ]
 
 
--- a/tests/test_diff.py
+++ b/tests/test_diff.py
@@ -1,3 +1,5 @@
+"""Differences of two object sets: computed, applied and rendered."""
+
 import msgspec
 from hypothesis import given
 from hypothesis import strategies as st
@@ -43,6 +45,7 @@
 
 
 def test_change_set_holds_only_what_differs() -> None:
+    """One changed team among 10 000 must not send the others again."""
     teams = tuple(Team(f'team-{number}') for number in range(10_000))
     changed = msgspec.structs.replace(teams[7], weight=3)
     new = ObjectSet(teams=(*teams[:7], changed, *teams[8:]))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, which are killed and stopped."""
+"""End-to-end tests: separate processes, some killed or stopped midway."""
 
 import asyncio
 import re
@@ -31,6 +31,7 @@
 
 
 def _text(events: bytes) -> str:
+    """Return the text of completion events; fail on any other event."""
     text = ''
     for line in events.decode().splitlines():
         if line.startswith('data: {'):
@@ -41,8 +42,12 @@
 
 
 async def _stream(listen: str, prompt: str, on_first, headers=None) -> bytes:
+    """Stream a completion and return its bytes.
+
+    `on_first` is called once, with the bytes so far, after the first events.
+    """
     received = b''
-    acted = False
+    is_called = False
     async with HTTPClient() as client:
         response = await client.request(
             f'http://{listen}/v1/completions',
@@ -60,28 +65,30 @@
         )
         async for chunk in response.read_chunks():
             received += chunk
-            if not acted and received.count(b'id: ') > 5:
-                acted = True
+            if not is_called and received.count(b'id: ') > 5:
+                is_called = True
                 on_first(received)
     return received
 
 
 def _running_agent(deployment: Deployment) -> int:
-    """Return the index of the agent that runs the only generation."""
+    """Return the index of the engine that runs the only generation."""
     for index, address in enumerate(deployment.engines):
         if deployment.processes.by_name[f'engine{index}'].poll() is not None:
             continue
-        with urllib.request.urlopen(f'http://{address}/running') as answer:
-            if int(answer.read()):
+        with urllib.request.urlopen(f'http://{address}/running') as response:
+            if int(response.read()):
                 return index
-    raise AssertionError('no engine runs anything')
+    raise AssertionError('no engine runs a generation')
 
 
 @pytest.mark.parametrize('victim', ['engine', 'agent'])
-def test_killed_process_breaks_no_answer(
+def test_stream_survives_killed_engine_or_agent(
     deployment: Deployment,
     victim: str,
 ) -> None:
+    """A process killed midway neither cuts the stream nor changes its text."""
+
     def kill(_: bytes) -> None:
         index = _running_agent(deployment)
         deployment.processes.kill(f'{victim}{index}')
@@ -91,7 +98,9 @@
     verify_answer(prompt, _text(events), COUNT)
 
 
-def test_guarded_call_runs_once(deployment: Deployment) -> None:
+def test_call_with_idempotency_key_runs_once(deployment: Deployment) -> None:
+    """The same key at both entries at once must not run the call twice."""
+
     async def call(listen: str) -> bytes:
         async with HTTPClient() as client:
             response = await client.request(
@@ -102,15 +111,16 @@
             )
             return await response.content()
 
-    async def both() -> list[bytes]:
+    async def call_both() -> list[bytes]:
         return await asyncio.gather(*map(call, deployment.listens))
 
-    asyncio.run(both())
+    asyncio.run(call_both())
     answers = {asyncio.run(call(listen)) for listen in deployment.listens}
     assert answers == {b'{"key":"batch-17","runs":1}'}
 
 
 async def _refused(listen: str) -> str:
+    """Send a request for a missing model; return the refused request's id."""
     async with HTTPClient() as client:
         response = await client.request(
             f'http://{listen}/v1/completions',
@@ -122,6 +132,7 @@
 
 
 async def _explained(listen: str, request_id: str, tries: int) -> dict:
+    """Return the explanation of a request, asked for up to `tries` times."""
     url = f'http://{listen}/v1/explanations/{request_id}'
     async with HTTPClient() as client:
         for _ in range(tries):
@@ -136,6 +147,7 @@
 def test_refusal_is_explained_through_another_entry(
     deployment: Deployment,
 ) -> None:
+    """An explanation written by one entry must be readable at the other."""
     request_id = asyncio.run(_refused(deployment.listens[0]))
     body = asyncio.run(_explained(deployment.listens[1], request_id, 100))
     assert body['reason'] == 'not_found'
@@ -143,6 +155,7 @@
 
 
 def test_stopped_entry_finishes_its_stream(deployment: Deployment) -> None:
+    """SIGTERM must neither cut a stream nor lose an unwritten explanation."""
     process = deployment.processes.by_name['entry1']
 
     def stop(_: bytes) -> None:
@@ -157,21 +170,25 @@
     assert body['reason'] == 'not_found'
 
 
-def test_killed_entry_is_replaced_by_the_cursor(
+def test_stream_resumes_from_cursor_after_entry_is_killed(
     deployment: Deployment,
 ) -> None:
+    """A caller reconnects with its last event id at the other entry.
+
+    The rest must follow the received text without a gap or a repeated token.
+    """
     prompt = f'{TERMOLAB.prompt} entry killed'
-    heads: list[bytes] = []
+    received_parts: list[bytes] = []
 
     def kill(received: bytes) -> None:
-        heads.append(received[: received.rindex(b'\n\n') + 2])
+        received_parts.append(received[: received.rindex(b'\n\n') + 2])
         deployment.processes.kill('entry0')
 
     with pytest.raises(Exception):  # noqa: B017, PT011
         asyncio.run(_stream(deployment.listens[0], prompt, kill))
     deployment.restart_entry(1)
-    cursor = re.findall(rb'id: (\S+)', heads[0])[-1].decode()
-    tail = asyncio.run(
+    cursor = re.findall(rb'id: (\S+)', received_parts[0])[-1].decode()
+    rest = asyncio.run(
         _stream(
             deployment.listens[1],
             prompt,
@@ -179,4 +196,4 @@
             {'last-event-id': cursor},
         ),
     )
-    verify_answer(prompt, _text(heads[0]) + _text(tail), COUNT)
+    verify_answer(prompt, _text(received_parts[0]) + _text(rest), COUNT)
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -1,4 +1,8 @@
-"""A generation at an entry continues while the store is down for an hour."""
+"""A generation continues while the platform's store is down for an hour.
+
+Guards against a running generation that depends on the store: it must go on
+in one attempt while new requests are refused for want of a configuration.
+"""
 
 import asyncio
 
@@ -70,12 +74,12 @@
 
 
 def _set_with_long_deadline() -> ObjectSet:
-    plain = small_set(2)
+    objects = small_set(2)
     service = msgspec.structs.replace(
-        plain.services[0],
+        objects.services[0],
         deadline_ms=2 * OUTAGE_MS,
     )
-    return msgspec.structs.replace(plain, services=(service,))
+    return msgspec.structs.replace(objects, services=(service,))
 
 
 def test_generation_continues_for_an_hour_without_the_store() -> None:
@@ -92,7 +96,7 @@
         entry, publisher = _entry(network, platform, clock)
         draft = Draft(_set_with_long_deadline(), who='operator', base=0)
         await publisher.publish(draft)
-        parts = (
+        entry_loops = (
             entry.versions.run(),
             entry.control.run(),
             entry.generations.run(),
@@ -100,7 +104,7 @@
             entry.audit.run(),
             entry.quarantines.run(),
         )
-        tasks = [asyncio.create_task(part) for part in parts]
+        tasks = [asyncio.create_task(loop) for loop in entry_loops]
         await entry.versions.wait_serving()
         published = entry.versions.admit()
         entry.apply_version(published)
