--- a/scripts/binary/build.py
+++ b/scripts/binary/build.py
@@ -1,4 +1,4 @@
-"""Builds the one binary: launcher, native files and an archive of modules."""
+"""Builds the binary: launcher, native files and a zip archive of modules."""
 
 from __future__ import annotations
 
@@ -24,7 +24,9 @@
 NATIVE_STDLIB = 'lib/python3.11/lib-dynload'
 PRELOAD = 'lib/preload'
 OWN_PACKAGES = ('bergamotthread', 'standins')
+# Fixed, so that the archive does not depend on the time of the build.
 ZIP_DATE = (1980, 1, 1, 0, 0, 0)
+# Not needed at run time, or added separately (lib-dynload, site-packages).
 EXCLUDED_STDLIB = {
     '__pycache__', 'config-3.11-x86_64-linux-gnu', 'distutils', 'ensurepip',
     'idlelib', 'lib-dynload', 'lib2to3', 'pydoc_data', 'site-packages',
@@ -33,6 +35,7 @@
 EXCLUDED_EXTENSIONS = re.compile(
     r'(_test|_xx|xx|_tkinter|_curses|readline|_dbm|_gdbm|nis|ossaudiodev)',
 )
+# The C library, which every machine has; libpython, which is added separately.
 LIBC = re.compile(
     r'(ld-linux|libc|libm|libdl|librt|libpthread|libutil|libresolv|libnsl'
     r'|linux-vdso|libpython)[.\-0-9]',
@@ -40,11 +43,19 @@
 
 
 class BuildError(Exception):
-    """The binary cannot be built here."""
+    """A tool, library or build step that the binary needs failed."""
 
 
 class Bundle:
-    """Files that the binary carries, by their name in it."""
+    """Files to be written to the binary.
+
+    Attributes
+    ----------
+    native_by_name
+        Files to be unpacked at the first start, by their relative path.
+    modules_by_name
+        Files of the zip archive, by their name in it.
+    """
 
     def __init__(self, staging: Path) -> None:
         self.native_by_name: dict[str, bytes] = {}
@@ -52,13 +63,17 @@
         self._staging = staging
 
     def add_module(self, path: Path, name: str) -> None:
-        """Add a compiled module; own ones with their source."""
+        """Add a compiled module; one of OWN_PACKAGES with its source."""
         if name.startswith(OWN_PACKAGES):
             self.modules_by_name[name] = path.read_bytes()
         self.modules_by_name[f'{name}c'] = self.compile(path, name)
 
     def compile(self, path: Path, name: str) -> bytes:
-        """Return the code of a module, to be used without checks."""
+        """Return the .pyc content of a module.
+
+        It is imported without a comparison with the source, most of which the
+        binary doesn't have.
+        """
         target = self._staging / 'module.pyc'
         py_compile.compile(
             str(path),
@@ -71,7 +86,7 @@
 
 
 def add_stdlib(bundle: Bundle) -> None:
-    """Add the standard library and its extensions."""
+    """Add the standard library and its extension modules."""
     stdlib = Path(sysconfig.get_path('stdlib'))
     for path in sorted(stdlib.rglob('*.py')):
         relative = path.relative_to(stdlib)
@@ -84,39 +99,45 @@
 
 
 def runtime_distributions() -> list[importlib.metadata.Distribution]:
-    """Return what the project depends on, directly and through others."""
+    """Return the distributions that the project needs, also indirectly."""
     project = tomllib.loads((ROOT / 'pyproject.toml').read_text())['project']
-    waiting = list(project['dependencies'])
-    found: dict[str, importlib.metadata.Distribution] = {}
-    while waiting:
-        requirement = waiting.pop()
+    pending = list(project['dependencies'])
+    by_name: dict[str, importlib.metadata.Distribution] = {}
+    while pending:
+        requirement = pending.pop()
         name, _, marker = requirement.partition(';')
         key = re.split(r'[^A-Za-z0-9_.\-]', name.strip())[0].lower()
-        if 'extra' in marker or key in found:
+        if 'extra' in marker or key in by_name:
             continue
         try:
-            found[key] = importlib.metadata.distribution(key)
+            by_name[key] = importlib.metadata.distribution(key)
         except importlib.metadata.PackageNotFoundError:
             if not marker:
                 raise
             continue
-        waiting.extend(found[key].requires or ())
-    return [found[key] for key in sorted(found)]
+        pending.extend(by_name[key].requires or ())
+    return [by_name[key] for key in sorted(by_name)]
 
 
 def add_distribution(
     bundle: Bundle,
     distribution: importlib.metadata.Distribution,
 ) -> None:
-    """Add a library; packages with extensions are unpacked as a whole."""
+    """Add the files of a distribution.
+
+    A package with extension modules is unpacked whole, since these can't be
+    loaded from a zip archive.
+    """
     files = [file for file in distribution.files or () if '..' not in str(file)]
-    native = {file.parts[0] for file in files if '.so' in file.suffixes}
+    native_packages = {
+        file.parts[0] for file in files if '.so' in file.suffixes
+    }
     for file in files:
         path = Path(str(file.locate()))
         name = str(file)
         if file.suffix in {'.pyc', '.pyi', '.pxd', '.h', '.c', '.pyx'}:
             continue
-        if file.parts[0] in native:
+        if file.parts[0] in native_packages:
             add_native(bundle, path, name)
         elif file.suffix == '.py':
             bundle.add_module(path, name)
@@ -125,14 +146,14 @@
 
 
 def is_needed(file: importlib.metadata.PackagePath) -> bool:
-    """Return whether a file that is no module is read at run time."""
+    """Return whether a file other than a module is read at run time."""
     if file.parts[0].endswith('.dist-info'):
         return file.name in {'METADATA', 'entry_points.txt'}
     return True
 
 
 def add_native(bundle: Bundle, path: Path, name: str) -> None:
-    """Add a file of a package that has extensions."""
+    """Add a file of a package that has extension modules."""
     target = f'{NATIVE_SITE}/{name}'
     if '.so' in path.suffixes:
         bundle.native_by_name[target] = stripped(path)
@@ -143,7 +164,7 @@
 
 
 def add_own_packages(bundle: Bundle) -> None:
-    """Add the project with its metadata."""
+    """Add the project's packages and its metadata."""
     project = tomllib.loads((ROOT / 'pyproject.toml').read_text())['project']
     for package in OWN_PACKAGES:
         for path in sorted((ROOT / package).rglob('*.py')):
@@ -155,28 +176,41 @@
 
 
 def add_libraries(bundle: Bundle) -> None:
-    """Add libpython and what extensions link to beside the C library."""
+    """Add libpython and the system libraries that native files link to.
+
+    The launcher loads them in the listed order; the C library is left out.
+    """
     libpython = find_libpython()
     stdlib = Path(sysconfig.get_path('stdlib'))
     roots = [libpython, *sorted((stdlib / 'lib-dynload').glob('*.so'))]
-    kept = [path for path in roots if not EXCLUDED_EXTENSIONS.match(path.name)]
+    native_files = [
+        path for path in roots if not EXCLUDED_EXTENSIONS.match(path.name)
+    ]
     for distribution in runtime_distributions():
         files = distribution.files or ()
-        found = [Path(str(file.locate())) for file in files]
-        kept.extend(path for path in found if '.so' in path.suffixes)
+        paths = [Path(str(file.locate())) for file in files]
+        native_files.extend(path for path in paths if '.so' in path.suffixes)
     libraries: dict[str, Path] = {}
-    for path in kept:
+    for path in native_files:
         libraries.update(linked_libraries(path))
-    order = sorted(libraries, key=lambda one: depth(libraries[one]))
-    for name in order:
+    load_order = sorted(
+        libraries, key=lambda library: depth(libraries[library])
+    )
+    for name in load_order:
         bundle.native_by_name[f'{PRELOAD}/{name}'] = stripped(libraries[name])
     bundle.native_by_name[f'{PRELOAD}/{libpython.name}'] = stripped(libpython)
-    listed = ' '.join([*order, libpython.name])
-    bundle.native_by_name[f'{PRELOAD}/order'] = listed.encode()
+    order_file = ' '.join([*load_order, libpython.name])
+    bundle.native_by_name[f'{PRELOAD}/order'] = order_file.encode()
 
 
 def find_libpython() -> Path:
-    """Return the shared library of this interpreter."""
+    """Return the path of the shared library of this interpreter.
+
+    Raises
+    ------
+    BuildError
+        If there is none, as with a statically linked interpreter.
+    """
     name = sysconfig.get_config_var('INSTSONAME') or ''
     directories = [
         sysconfig.get_config_var('LIBDIR'),
@@ -189,13 +223,16 @@
             path = Path(directory or '/') / library
             if library and '.so' in library and path.exists():
                 return path.resolve()
-    raise BuildError('libpython3.11.so.1.0 not found, expected a Python 3.11')
+    raise BuildError(
+        'libpython3.11.so.1.0 not found, '
+        'expected a Python 3.11 with a shared library'
+    )
 
 
 def linked_libraries(path: Path) -> dict[str, Path]:
-    """Return the libraries of the system that a file links to, by name."""
-    listed = run('ldd', str(path))
-    found = re.findall(r'(\S+) => (/\S+)', listed)
+    """Return the system libraries that a file links to, by name."""
+    output = run('ldd', str(path))
+    found = re.findall(r'(\S+) => (/\S+)', output)
     return {
         name: Path(target).resolve()
         for name, target in found
@@ -204,29 +241,44 @@
 
 
 def depth(path: Path) -> int:
-    """Return how many libraries a library needs, directly or not."""
+    """Return the number of libraries that a library needs, also indirectly.
+
+    It is larger than that of each library needed, which gives a load order.
+    """
     return len(re.findall('=>', run('ldd', str(path))))
 
 
 def stripped(path: Path) -> bytes:
-    """Return a library without symbols that only debuggers use."""
+    """Return the content of a library without its debugging symbols."""
     with tempfile.NamedTemporaryFile() as target:
         run('strip', '--strip-unneeded', '-o', target.name, str(path))
         return Path(target.name).read_bytes()
 
 
 def run(*command: str) -> str:
-    """Return the output of a tool."""
+    """Return the output of a command.
+
+    Raises
+    ------
+    BuildError
+        If the tool is missing or exits with an error.
+    """
     if shutil.which(command[0]) is None:
         raise BuildError(f'{command[0]} not found, expected the C tools')
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise BuildError(f'{" ".join(command)}: {done.stderr}')
-    return done.stdout
+    completed = subprocess.run(
+        command, capture_output=True, text=True, check=False
+    )
+    if completed.returncode:
+        raise BuildError(f'{" ".join(command)}: {completed.stderr}')
+    return completed.stdout
 
 
 def pack_native(bundle: Bundle) -> bytes:
-    """Return the native files, each with the sizes of name and content."""
+    """Return the native files, packed as the launcher reads them.
+
+    Each file is: length of its name (uint32), length of its content (uint64),
+    name, content.
+    """
     packed = io.BytesIO()
     for name, content in sorted(bundle.native_by_name.items()):
         encoded = name.encode()
@@ -237,7 +289,7 @@
 
 
 def pack_modules(bundle: Bundle, trailer: str) -> bytes:
-    """Return the archive of modules, uncompressed, with the trailer."""
+    """Return the uncompressed zip archive with the trailer as comment."""
     packed = io.BytesIO()
     with zipfile.ZipFile(packed, 'w') as archive:
         for name, content in sorted(bundle.modules_by_name.items()):
@@ -247,7 +299,7 @@
 
 
 def build(target: Path) -> None:
-    """Write the binary."""
+    """Build the binary and write it to `target`."""
     with tempfile.TemporaryDirectory() as name:
         staging = Path(name)
         run('cc', '-O2', '-Wall', '-Wextra', '-Werror', '-rdynamic', '-o',
@@ -270,7 +322,7 @@
 
 
 def main() -> None:
-    """Build and end with code 1 and one line if that is not possible."""
+    """Build the binary; exit with code 1 and one line on a BuildError."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('target', type=Path, nargs='?',
                         default=ROOT / 'dist' / 'bergamotthread')  # fmt: skip
