--- a/scripts/binary/build.py
+++ b/scripts/binary/build.py
@@ -20,7 +20,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 LAUNCHER = Path(__file__).parent / 'launcher.c'
-NATIVE_SITE = 'lib/python3.11/site-packages'
+NATIVE_SITE_PACKAGES = 'lib/python3.11/site-packages'
 NATIVE_STDLIB = 'lib/python3.11/lib-dynload'
 PRELOAD = 'lib/preload'
 OWN_PACKAGES = ('bergamotthread', 'standins')
@@ -36,7 +36,7 @@
     r'(_test|_xx|xx|_tkinter|_curses|readline|_dbm|_gdbm|nis|ossaudiodev)',
 )
 # The C library, which every machine has; libpython, which is added separately.
-LIBC = re.compile(
+EXCLUDED_LIBRARIES = re.compile(
     r'(ld-linux|libc|libm|libdl|librt|libpthread|libutil|libresolv|libnsl'
     r'|linux-vdso|libpython)[.\-0-9]',
 )
@@ -95,7 +95,7 @@
     for path in sorted((stdlib / 'lib-dynload').glob('*.so')):
         if not EXCLUDED_EXTENSIONS.match(path.name):
             name = f'{NATIVE_STDLIB}/{path.name}'
-            bundle.native_by_name[name] = stripped(path)
+            bundle.native_by_name[name] = read_stripped(path)
 
 
 def runtime_distributions() -> list[importlib.metadata.Distribution]:
@@ -141,11 +141,11 @@
             add_native(bundle, path, name)
         elif file.suffix == '.py':
             bundle.add_module(path, name)
-        elif is_needed(file):
+        elif is_read_at_run_time(file):
             bundle.modules_by_name[name] = path.read_bytes()
 
 
-def is_needed(file: importlib.metadata.PackagePath) -> bool:
+def is_read_at_run_time(file: importlib.metadata.PackagePath) -> bool:
     """Return whether a file other than a module is read at run time."""
     if file.parts[0].endswith('.dist-info'):
         return file.name in {'METADATA', 'entry_points.txt'}
@@ -154,9 +154,9 @@
 
 def add_native(bundle: Bundle, path: Path, name: str) -> None:
     """Add a file of a package that has extension modules."""
-    target = f'{NATIVE_SITE}/{name}'
+    target = f'{NATIVE_SITE_PACKAGES}/{name}'
     if '.so' in path.suffixes:
-        bundle.native_by_name[target] = stripped(path)
+        bundle.native_by_name[target] = read_stripped(path)
     elif path.suffix == '.py':
         bundle.native_by_name[f'{target}c'] = bundle.compile(path, name)
     elif path.suffix != '.md':
@@ -194,11 +194,11 @@
     for path in native_files:
         libraries.update(linked_libraries(path))
     load_order = sorted(
-        libraries, key=lambda library: depth(libraries[library])
+        libraries, key=lambda library: count_dependencies(libraries[library])
     )
     for name in load_order:
-        bundle.native_by_name[f'{PRELOAD}/{name}'] = stripped(libraries[name])
-    bundle.native_by_name[f'{PRELOAD}/{libpython.name}'] = stripped(libpython)
+        bundle.native_by_name[f'{PRELOAD}/{name}'] = read_stripped(libraries[name])
+    bundle.native_by_name[f'{PRELOAD}/{libpython.name}'] = read_stripped(libpython)
     order_file = ' '.join([*load_order, libpython.name])
     bundle.native_by_name[f'{PRELOAD}/order'] = order_file.encode()
 
@@ -236,11 +236,11 @@
     return {
         name: Path(target).resolve()
         for name, target in found
-        if not LIBC.match(name) and 'site-packages' not in target
+        if not EXCLUDED_LIBRARIES.match(name) and 'site-packages' not in target
     }
 
 
-def depth(path: Path) -> int:
+def count_dependencies(path: Path) -> int:
     """Return the number of libraries that a library needs, also indirectly.
 
     It is larger than that of each library needed, which gives a load order.
@@ -248,7 +248,7 @@
     return len(re.findall('=>', run('ldd', str(path))))
 
 
-def stripped(path: Path) -> bytes:
+def read_stripped(path: Path) -> bytes:
     """Return the content of a library without its debugging symbols."""
     with tempfile.NamedTemporaryFile() as target:
         run('strip', '--strip-unneeded', '-o', target.name, str(path))
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -20,7 +20,7 @@
 
 CURSOR_KEY = 'cd' * 32
 OPERATOR = f'{TERMOLAB.name}-operator'
-_DEADLINE_S = 30
+_READY_TIMEOUT_S = 30
 _ROOT = Path(__file__).parent.parent
 
 
@@ -36,7 +36,7 @@
 
         A running process with the same name is killed first.
         """
-        self.end(name)
+        self.kill_if_running(name)
         log = (self.folder / f'{name}.log').open('wb')
         process = subprocess.Popen(
             [sys.executable, '-m', *arguments],
@@ -48,13 +48,13 @@
         self.by_name[name] = process
         return process
 
-    def role(self, name: str, kind: str, settings: dict) -> None:
+    def start_role(self, name: str, kind: str, settings: dict) -> None:
         """Start `bergamotthread KIND` with the given settings."""
         path = self.folder / f'{name}.json'
         path.write_text(json.dumps(settings))
         self.start(name, 'bergamotthread', kind, '--settings', str(path))
 
-    def end(self, name: str) -> None:
+    def kill_if_running(self, name: str) -> None:
         process = self.by_name.get(name)
         if process is not None and process.poll() is None:
             process.kill()
@@ -66,13 +66,13 @@
 
     def close(self) -> None:
         for name in self.by_name:
-            self.end(name)
+            self.kill_if_running(name)
 
     def log(self, name: str) -> str:
         return (self.folder / f'{name}.log').read_text()
 
 
-def wait_for(url: str) -> None:
+def wait_until_ok(url: str) -> None:
     """Wait until a GET of the URL returns status 200.
 
     Raises
@@ -80,7 +80,7 @@
     TimeoutError
         If that takes longer than 30 s.
     """
-    end_s = time.monotonic() + _DEADLINE_S
+    end_s = time.monotonic() + _READY_TIMEOUT_S
     while time.monotonic() < end_s:
         try:
             with urllib.request.urlopen(url, timeout=1) as response:
@@ -100,48 +100,60 @@
     """
 
     processes: Processes
-    platform: str = field(default_factory=free_address)
-    engines: list[str] = field(
+    platform_address: str = field(default_factory=free_address)
+    engine_addresses: list[str] = field(
         default_factory=lambda: [free_address() for _ in range(3)],
     )
-    agents: list[str] = field(
+    agent_addresses: list[str] = field(
         default_factory=lambda: [free_address() for _ in range(3)],
     )
-    service: str = field(default_factory=free_address)
-    service_agent: str = field(default_factory=free_address)
-    entries: list[str] = field(
+    service_address: str = field(default_factory=free_address)
+    service_agent_address: str = field(default_factory=free_address)
+    entry_addresses: list[str] = field(
         default_factory=lambda: [free_address() for _ in range(2)],
     )
-    listens: list[str] = field(
+    listen_addresses: list[str] = field(
         default_factory=lambda: [free_address() for _ in range(2)],
     )
 
     def start(self) -> None:
         """Start all processes, publish objects, wait for ready entries."""
         processes = self.processes
-        processes.start('platform', 'standins.platform_store', self.platform)
-        processes.start('service', 'standins.service', '--listen', self.service)
-        for index, address in enumerate(self.engines):
+        processes.start(
+            'platform', 'standins.platform_store', self.platform_address
+        )
+        processes.start(
+            'service', 'standins.service', '--listen', self.service_address
+        )
+        for index, address in enumerate(self.engine_addresses):
             processes.start(
                 f'engine{index}', 'standins.engine', '--listen', address
             )
-            self._agent(index, self.agents[index], address, 'engine')
-        self._agent(9, self.service_agent, self.service, 'service')
-        wait_for(f'http://{self.platform}/api/rows-get?table=x&part=')
-        for index, address in enumerate(self.entries):
-            self._entry(index, address)
+            self._start_agent(
+                index, self.agent_addresses[index], address, 'engine'
+            )
+        self._start_agent(
+            9, self.service_agent_address, self.service_address, 'service'
+        )
+        wait_until_ok(
+            f'http://{self.platform_address}/api/rows-get?table=x&part='
+        )
+        for index, address in enumerate(self.entry_addresses):
+            self._start_entry(index, address)
         self.publish()
-        for listen in self.listens:
-            wait_for(f'http://{listen}/readyz')
+        for listen in self.listen_addresses:
+            wait_until_ok(f'http://{listen}/readyz')
 
     def publish(self) -> str:
         """Publish the objects of the deployment as its first version."""
-        objects = user_set(TERMOLAB, self.agents, [self.service_agent])
+        objects = user_set(
+            TERMOLAB, self.agent_addresses, [self.service_agent_address]
+        )
         path = self.processes.folder / 'set.json'
         path.write_bytes(msgspec.json.encode(objects))
-        return self.command('publish', str(path), '--base', '0')
+        return self.run_command('publish', str(path), '--base', '0')
 
-    def command(self, *arguments: str) -> str:
+    def run_command(self, *arguments: str) -> str:
         """Return the output of a command, run with the operator's key."""
         completed = subprocess.run(
             [
@@ -149,7 +161,7 @@
                 '-m',
                 'bergamotthread',
                 '--platform',
-                self.platform,
+                self.platform_address,
                 *arguments,
             ],
             cwd=_ROOT,
@@ -163,35 +175,35 @@
         return completed.stdout
 
     def restart_entry(self, index: int) -> None:
-        self._entry(index, self.entries[index])
-        wait_for(f'http://{self.listens[index]}/readyz')
+        self._start_entry(index, self.entry_addresses[index])
+        wait_until_ok(f'http://{self.listen_addresses[index]}/readyz')
 
-    def _agent(
+    def _start_agent(
         self, index: int, address: str, upstream: str, kind: str
     ) -> None:
-        self.processes.role(
+        self.processes.start_role(
             f'agent{index}',
             'agent',
             {
-                'place': _place(address, index % 3),
+                'place': _place_settings(address, index % 3),
                 'upstream': upstream,
                 'upstream_name': f'upstream-{index}',
                 'upstream_kind': kind,
-                'entries': self.entries,
-                'platform': {'address': self.platform},
+                'entries': self.entry_addresses,
+                'platform': {'address': self.platform_address},
             },
         )
 
-    def _entry(self, index: int, address: str) -> None:
-        peers = [entry for entry in self.entries if entry != address]
-        self.processes.role(
+    def _start_entry(self, index: int, address: str) -> None:
+        peers = [entry for entry in self.entry_addresses if entry != address]
+        self.processes.start_role(
             f'entry{index}',
             'entry',
             {
-                'place': _place(address, index),
-                'listen': self.listens[index],
+                'place': _place_settings(address, index),
+                'listen': self.listen_addresses[index],
                 'platform': {
-                    'address': self.platform,
+                    'address': self.platform_address,
                     'reads_per_s': 20,
                     'writes_per_s': 20,
                 },
@@ -201,7 +213,7 @@
         )
 
 
-def _place(address: str, index: int) -> dict[str, str]:
+def _place_settings(address: str, index: int) -> dict[str, str]:
     region = TERMOLAB.regions[index]
     return {
         'address': address,
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -16,8 +16,8 @@
 
 _ROOT = Path(__file__).parent.parent
 _BUILD = _ROOT / 'scripts' / 'build-binary'
-_MEMORY = Path('/dev/shm')
-_VARIABLE = 'BERGAMOTTHREAD_MEMORY_DIR'
+_MEMORY_FILE_SYSTEM = Path('/dev/shm')
+_DIRECTORY_VARIABLE = 'BERGAMOTTHREAD_MEMORY_DIR'
 _START_TIMEOUT_S = 15
 
 
@@ -42,7 +42,7 @@
 @pytest.fixture
 def memory() -> Iterator[Path]:
     """Return an empty directory in memory (tmpfs) to unpack into."""
-    path = Path(tempfile.mkdtemp(dir=_MEMORY))
+    path = Path(tempfile.mkdtemp(dir=_MEMORY_FILE_SYSTEM))
     yield path
     shutil.rmtree(path)
 
@@ -57,7 +57,7 @@
     return port
 
 
-def _ask_health(port: int) -> bytes:
+def _fetch_health(port: int) -> bytes:
     """Return the health response, once the port accepts connections."""
     for _ in range(_START_TIMEOUT_S * 50):
         try:
@@ -87,11 +87,11 @@
     files_before = set(tmp_path.iterdir())
     with subprocess.Popen(
         [str(binary), 'entry', '--settings', str(settings)],
-        env={_VARIABLE: str(memory)},
+        env={_DIRECTORY_VARIABLE: str(memory)},
         cwd=tmp_path,
         stderr=subprocess.DEVNULL,
     ) as entry:
-        response = _ask_health(port)
+        response = _fetch_health(port)
         process = psutil.Process(entry.pid)
         listening = [
             connection.laddr.port for connection in process.net_connections()
@@ -115,7 +115,7 @@
     for _ in range(2):
         completed = subprocess.run(
             [str(binary), '--version'],
-            env={_VARIABLE: str(memory)},
+            env={_DIRECTORY_VARIABLE: str(memory)},
             capture_output=True,
             text=True,
             check=True,
@@ -141,7 +141,7 @@
     """Without a directory in memory, the binary must not unpack to a disk."""
     refused = subprocess.run(
         [str(binary), '--version'],
-        env={_VARIABLE: directory} if directory else {},
+        env={_DIRECTORY_VARIABLE: directory} if directory else {},
         capture_output=True,
         text=True,
         check=False,
@@ -154,7 +154,7 @@
 ) -> None:
     """Other users could replace libraries that the binary would load."""
     command = [str(binary), '--version']
-    environment = {_VARIABLE: str(memory)}
+    environment = {_DIRECTORY_VARIABLE: str(memory)}
     subprocess.run(command, env=environment, check=True, capture_output=True)
     (unpacked,) = memory.iterdir()
     unpacked.chmod(0o777)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -13,7 +13,7 @@
 from standins.users import TERMOLAB
 from tests.processes import Deployment, Processes
 
-COUNT = 150
+MAX_TOKENS = 150
 HEADERS = {
     'authorization': f'Bearer {TERMOLAB.credential(TERMOLAB.teams[0])}',
 }
@@ -30,7 +30,7 @@
         processes.close()
 
 
-def _text(events: bytes) -> str:
+def _completion_text(events: bytes) -> str:
     """Return the text of completion events; fail on any other event."""
     text = ''
     for line in events.decode().splitlines():
@@ -41,7 +41,9 @@
     return text
 
 
-async def _stream(listen: str, prompt: str, on_first, headers=None) -> bytes:
+async def _stream_completion(
+    listen: str, prompt: str, on_first, headers=None
+) -> bytes:
     """Stream a completion and return its bytes.
 
     `on_first` is called once, with the bytes so far, after the first events.
@@ -57,7 +59,7 @@
                 {
                     'model': TERMOLAB.model,
                     'prompt': prompt,
-                    'max_tokens': COUNT,
+                    'max_tokens': MAX_TOKENS,
                     'stream': True,
                 },
             ),
@@ -71,9 +73,9 @@
     return received
 
 
-def _running_agent(deployment: Deployment) -> int:
+def _running_engine_index(deployment: Deployment) -> int:
     """Return the index of the engine that runs the only generation."""
-    for index, address in enumerate(deployment.engines):
+    for index, address in enumerate(deployment.engine_addresses):
         if deployment.processes.by_name[f'engine{index}'].poll() is not None:
             continue
         with urllib.request.urlopen(f'http://{address}/running') as response:
@@ -90,12 +92,14 @@
     """A process killed midway neither cuts the stream nor changes its text."""
 
     def kill(_: bytes) -> None:
-        index = _running_agent(deployment)
+        index = _running_engine_index(deployment)
         deployment.processes.kill(f'{victim}{index}')
 
     prompt = f'{TERMOLAB.prompt} {victim} killed'
-    events = asyncio.run(_stream(deployment.listens[0], prompt, kill))
-    verify_answer(prompt, _text(events), COUNT)
+    events = asyncio.run(
+        _stream_completion(deployment.listen_addresses[0], prompt, kill)
+    )
+    verify_answer(prompt, _completion_text(events), MAX_TOKENS)
 
 
 def test_call_with_idempotency_key_runs_once(deployment: Deployment) -> None:
@@ -112,14 +116,16 @@
             return await response.content()
 
     async def call_both() -> list[bytes]:
-        return await asyncio.gather(*map(call, deployment.listens))
+        return await asyncio.gather(*map(call, deployment.listen_addresses))
 
     asyncio.run(call_both())
-    answers = {asyncio.run(call(listen)) for listen in deployment.listens}
+    answers = {
+        asyncio.run(call(listen)) for listen in deployment.listen_addresses
+    }
     assert answers == {b'{"key":"batch-17","runs":1}'}
 
 
-async def _refused(listen: str) -> str:
+async def _refused_request_id(listen: str) -> str:
     """Send a request for a missing model; return the refused request's id."""
     async with HTTPClient() as client:
         response = await client.request(
@@ -131,7 +137,7 @@
         return msgspec.json.decode(await response.content())['request_id']
 
 
-async def _explained(listen: str, request_id: str, tries: int) -> dict:
+async def _fetch_explanation(listen: str, request_id: str, tries: int) -> dict:
     """Return the explanation of a request, asked for up to `tries` times."""
     url = f'http://{listen}/v1/explanations/{request_id}'
     async with HTTPClient() as client:
@@ -148,8 +154,12 @@
     deployment: Deployment,
 ) -> None:
     """An explanation written by one entry must be readable at the other."""
-    request_id = asyncio.run(_refused(deployment.listens[0]))
-    body = asyncio.run(_explained(deployment.listens[1], request_id, 100))
+    request_id = asyncio.run(
+        _refused_request_id(deployment.listen_addresses[0])
+    )
+    body = asyncio.run(
+        _fetch_explanation(deployment.listen_addresses[1], request_id, 100)
+    )
     assert body['reason'] == 'not_found'
     assert body['ran'] == 'no'
 
@@ -161,12 +171,18 @@
     def stop(_: bytes) -> None:
         process.send_signal(signal.SIGTERM)
 
-    request_id = asyncio.run(_refused(deployment.listens[1]))
+    request_id = asyncio.run(
+        _refused_request_id(deployment.listen_addresses[1])
+    )
     prompt = f'{TERMOLAB.prompt} entry stopped'
-    events = asyncio.run(_stream(deployment.listens[1], prompt, stop))
-    verify_answer(prompt, _text(events), COUNT)
+    events = asyncio.run(
+        _stream_completion(deployment.listen_addresses[1], prompt, stop)
+    )
+    verify_answer(prompt, _completion_text(events), MAX_TOKENS)
     assert process.wait(30) == 0
-    body = asyncio.run(_explained(deployment.listens[0], request_id, 1))
+    body = asyncio.run(
+        _fetch_explanation(deployment.listen_addresses[0], request_id, 1)
+    )
     assert body['reason'] == 'not_found'
 
 
@@ -185,15 +201,21 @@
         deployment.processes.kill('entry0')
 
     with pytest.raises(Exception):  # noqa: B017, PT011
-        asyncio.run(_stream(deployment.listens[0], prompt, kill))
+        asyncio.run(
+            _stream_completion(deployment.listen_addresses[0], prompt, kill)
+        )
     deployment.restart_entry(1)
     cursor = re.findall(rb'id: (\S+)', received_parts[0])[-1].decode()
     rest = asyncio.run(
-        _stream(
-            deployment.listens[1],
+        _stream_completion(
+            deployment.listen_addresses[1],
             prompt,
             lambda _: None,
             {'last-event-id': cursor},
         ),
     )
-    verify_answer(prompt, _text(received_parts[0]) + _text(rest), COUNT)
+    verify_answer(
+        prompt,
+        _completion_text(received_parts[0]) + _completion_text(rest),
+        MAX_TOKENS,
+    )
--- a/tests/test_store_outage.py
+++ b/tests/test_store_outage.py
@@ -47,10 +47,10 @@
 PROMPT = 'site diary of trench 204'
 OUTAGE_MS = 3_600_000
 TOKEN_INTERVAL_MS = 1000
-COUNT = 3700
+MAX_TOKENS = 3700
 
 
-def _entry(network: MemoryNetwork, platform: MemoryPlatform, clock: Clock):
+def _make_entry(network: MemoryNetwork, platform: MemoryPlatform, clock: Clock):
     store = StoreClient(
         MemoryTable(platform),
         MemoryObjectStore(platform),
@@ -93,7 +93,7 @@
         )
         clock = deployment.clock
         platform = MemoryPlatform(clock)
-        entry, publisher = _entry(network, platform, clock)
+        entry, publisher = _make_entry(network, platform, clock)
         draft = Draft(_set_with_long_deadline(), who='operator', base=0)
         await publisher.publish(draft)
         entry_loops = (
@@ -108,7 +108,7 @@
         await entry.versions.wait_serving()
         published = entry.versions.admit()
         entry.apply_version(published)
-        request = CompletionRequest('furnace', PROMPT, max_tokens=COUNT)
+        request = CompletionRequest('furnace', PROMPT, max_tokens=MAX_TOKENS)
         live, _ = entry.completions.open(request, Caller(TEAM), published)
         live.readers += 1
         platform.faults.down = True
@@ -116,7 +116,7 @@
         while not live.generation.is_over and clock.now_ms() < end_ms:
             live.consumed_tokens = live.generation.offset
             await live.wait_change()
-        assert live.generation.offset > COUNT / 2
+        assert live.generation.offset > MAX_TOKENS / 2
         assert live.attempts == 1
         with pytest.raises(RefusedError) as refused:
             entry.versions.admit()
@@ -125,7 +125,7 @@
         while not live.generation.is_over:
             live.consumed_tokens = live.generation.offset
             await live.wait_change()
-        verify_answer(PROMPT, ''.join(live.generation.tokens), COUNT)
+        verify_answer(PROMPT, ''.join(live.generation.tokens), MAX_TOKENS)
         await entry.versions.wait_serving()
         for task in tasks:
             task.cancel()
