--- a/scripts/binary/build.py
+++ b/scripts/binary/build.py
@@ -197,8 +197,12 @@
         libraries, key=lambda library: count_dependencies(libraries[library])
     )
     for name in load_order:
-        bundle.native_by_name[f'{PRELOAD}/{name}'] = read_stripped(libraries[name])
-    bundle.native_by_name[f'{PRELOAD}/{libpython.name}'] = read_stripped(libpython)
+        bundle.native_by_name[f'{PRELOAD}/{name}'] = read_stripped(
+            libraries[name]
+        )
+    bundle.native_by_name[f'{PRELOAD}/{libpython.name}'] = read_stripped(
+        libpython
+    )
     order_file = ' '.join([*load_order, libpython.name])
     bundle.native_by_name[f'{PRELOAD}/order'] = order_file.encode()
 
