--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,8 +18,8 @@
     CapacityRow,
     ComputedRow,
     MeasuredRow,
-    OpenRow,
     Role,
+    UnmeasuredRow,
     limit_of,
 )
 
@@ -34,18 +34,18 @@
 UNUSED = 'not this way'
 SHOWN_FIRST = 8
 OPEN_ROWS = (
-    OpenRow(Role.ENTRY, 'memory of a process without load'),
-    OpenRow(Role.AGENT, 'memory of a process without load'),
-    OpenRow(Role.DATA_PATH, 'tokens/s relayed per core of an entry'),
-    OpenRow(Role.DATA_PATH, 'streams an entry'),
-    OpenRow(Role.DATA_PATH, 'bytes a token, agent to entry'),
-    OpenRow(Role.DATA_PATH, 'bytes a token, entry to caller'),
-    OpenRow(Role.DATA_PATH, 'memory of one stream at an entry'),
-    OpenRow(Role.DATA_PATH, 'memory of one stream at an agent'),
-    OpenRow(
+    UnmeasuredRow(Role.ENTRY, 'memory of a process without load'),
+    UnmeasuredRow(Role.AGENT, 'memory of a process without load'),
+    UnmeasuredRow(Role.DATA_PATH, 'tokens/s relayed per core of an entry'),
+    UnmeasuredRow(Role.DATA_PATH, 'streams an entry'),
+    UnmeasuredRow(Role.DATA_PATH, 'bytes a token, agent to entry'),
+    UnmeasuredRow(Role.DATA_PATH, 'bytes a token, entry to caller'),
+    UnmeasuredRow(Role.DATA_PATH, 'memory of one stream at an entry'),
+    UnmeasuredRow(Role.DATA_PATH, 'memory of one stream at an agent'),
+    UnmeasuredRow(
         Role.FAULTS, 'change of configuration: ms until in force everywhere'
     ),
-    OpenRow(Role.TABLE, 'audit trail, objects'),
+    UnmeasuredRow(Role.TABLE, 'audit trail, objects'),
 )
 
 
@@ -104,7 +104,7 @@
             cells = _cells(row, how)
         case ComputedRow():
             cells = _cells(row, f'computed: {row.inputs}')
-        case OpenRow():
+        case UnmeasuredRow():
             cells = [row.figure, '', 'not measured', '', '', '']
     return f'| {" | ".join(cells)} |'
 
@@ -141,7 +141,7 @@
     limited = [
         (limit / row.value, row)
         for row in rows
-        if not isinstance(row, OpenRow)
+        if not isinstance(row, UnmeasuredRow)
         and (limit := limit_of(row.budget))
         and row.value > 0
         and not row.carried_by.startswith(UNUSED)
@@ -189,7 +189,7 @@
     parts = [
         row
         for row in rows
-        if not isinstance(row, OpenRow)
+        if not isinstance(row, UnmeasuredRow)
         and row.role in roles
         and row.budget is budget
         and not row.carried_by.startswith(UNUSED)
--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -95,7 +95,7 @@
     return held
 
 
-def _over(
+def _measure_sizes(
     sizes: Sequence[int], measure: Callable[[int], float]
 ) -> tuple[tuple[float, float], ...]:
     return tuple((size, measure(size)) for size in sizes)
@@ -134,7 +134,7 @@
             Budget.MEMORY,
             'member',
             ENTRIES,
-            _over((100, 200, 400, 800), _member_memory),
+            _measure_sizes((100, 200, 400, 800), _member_memory),
             'one record per entry, no records of agents',
         ),
     ]
@@ -186,7 +186,7 @@
             budget=Budget.CPU,
             per='upstream of one model in the region',
             at_count=UPSTREAMS / MODELS / REGIONS,
-            points=_over(SUBSET_SIZES, _subset_cpu),
+            points=_measure_sizes(SUBSET_SIZES, _subset_cpu),
             carried_by='rendezvous hash from the side of the upstreams',
             command=COMMAND,
             factor=MODELS * (STATE_CHANGES_PER_S + VERSIONS_PER_S),
@@ -225,7 +225,7 @@
             Budget.MEMORY,
             'team',
             TEAMS,
-            _over(TEAM_SIZES, _usage_memory),
+            _measure_sizes(TEAM_SIZES, _usage_memory),
             'idle teams are forgotten',
         ),
         MeasuredRow(
@@ -234,7 +234,7 @@
             budget=Budget.CPU,
             per='team',
             at_count=TEAMS,
-            points=_over(TEAM_SIZES, _admission_cpu),
+            points=_measure_sizes(TEAM_SIZES, _admission_cpu),
             carried_by='token bucket in memory',
             command=COMMAND,
             factor=REQUESTS_PER_S / ENTRIES,
@@ -289,7 +289,7 @@
             Budget.MEMORY,
             'upstream, with 5/6 of a team',
             UPSTREAMS,
-            _over(VERSION_SIZES, _version_memory),
+            _measure_sizes(VERSION_SIZES, _version_memory),
             carried_by,
         ),
         MeasuredRow(
@@ -298,7 +298,7 @@
             budget=Budget.CPU,
             per='upstream, with 5/6 of a team',
             at_count=UPSTREAMS,
-            points=_over(VERSION_SIZES, _version_cpu),
+            points=_measure_sizes(VERSION_SIZES, _version_cpu),
             carried_by=carried_by,
             command=COMMAND,
             factor=VERSIONS_PER_S,
@@ -310,7 +310,7 @@
             budget=Budget.MESSAGES,
             per='upstream, with 5/6 of a team',
             at_count=UPSTREAMS,
-            points=_over(VERSION_SIZES, _document_bytes),
+            points=_measure_sizes(VERSION_SIZES, _document_bytes),
             carried_by='not this way: changes of a version, see publication',
             command=COMMAND,
             factor=VERSIONS_PER_S,
@@ -355,7 +355,7 @@
             budget=Budget.CPU,
             per='upstream of the region',
             at_count=UPSTREAMS / REGIONS,
-            points=_over(ORDER_SIZES, _plan_cpu),
+            points=_measure_sizes(ORDER_SIZES, _plan_cpu),
             carried_by='pure function of the version and confirmed pins',
             command=COMMAND,
             factor=0.5,
@@ -382,7 +382,7 @@
 @register_rows
 def cli_rows() -> Sequence[CapacityRow]:
     """Return the CPU time of a drain command."""
-    points = _over(STOP_SIZES, _stops_cpu)
+    points = _measure_sizes(STOP_SIZES, _stops_cpu)
     return [
         MeasuredRow(
             role=Role.CLI,
--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -135,14 +135,14 @@
 
 
 @dataclass(frozen=True)
-class OpenRow:
+class UnmeasuredRow:
     """Figure that has not been measured yet."""
 
     role: Role
     figure: str
 
 
-CapacityRow = MeasuredRow | ComputedRow | OpenRow
+CapacityRow = MeasuredRow | ComputedRow | UnmeasuredRow
 RowSource = Callable[[], Sequence[CapacityRow]]
 
 ROW_SOURCES: list[RowSource] = []
--- a/benchmarks/data_path_agent.py
+++ b/benchmarks/data_path_agent.py
@@ -65,7 +65,7 @@
 
 
 @dataclass
-class EntryEnd:
+class OutputReceiver:
     """Receives output in place of an entry and counts it."""
 
     tokens: int = 0
@@ -112,7 +112,7 @@
             Clock.from_system(),
         )
         stack.callback(transport.close)
-        end = EntryEnd()
+        end = OutputReceiver()
         transport.start(end.on_message)
         agent, address = await start_agent(
             engine_address,
@@ -155,7 +155,7 @@
 async def _acknowledge(
     transport: ZmqTransport,
     agent: str,
-    end: EntryEnd,
+    end: OutputReceiver,
 ) -> None:
     while True:
         await asyncio.sleep(ACK_INTERVAL_S)
@@ -165,7 +165,7 @@
 
 async def _watch(
     process: psutil.Process,
-    end: EntryEnd,
+    end: OutputReceiver,
     streams: int,
     seconds: float,
 ) -> AgentFigures:
--- a/benchmarks/data_path_processes.py
+++ b/benchmarks/data_path_processes.py
@@ -106,13 +106,13 @@
             store.object_store(StoreUse.PUBLICATION),
             clock,
         )
-        objects = _wide(user_set(TERMOLAB, agents))
+        objects = _with_high_limits(user_set(TERMOLAB, agents))
         await publisher.publish(Draft(objects, who='operator', base=0))
         store.close()
         yield address
 
 
-def _wide(objects: ObjectSet) -> ObjectSet:
+def _with_high_limits(objects: ObjectSet) -> ObjectSet:
     """Return the objects with team limits too high for a benchmark to reach."""
     teams = tuple(
         msgspec.structs.replace(team, requests_per_s=100_000)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -141,27 +141,27 @@
         self._next_arrival(arrivals)
         self._report_all()
         self._sample()
-        self._tell_charges()
+        self._propagate_charges()
         for loss in losses:
-            self.after(loss.at_ms, partial(self.lose, loss))
+            self.after(loss.at_ms, partial(self.kill_agents, loss))
         while self._events and self._events[0][0] <= until_ms:
             event = heapq.heappop(self._events)
             self.now_ms = event[0]
             event[2]()
         return self.figures
 
-    def still_lost(self) -> int:
+    def unresumed_count(self) -> int:
         """Return the number of lost generations that have not resumed yet."""
         return sum(
             generation.lost_ms > 0
             for generation in self._by_generation.values()
         )
 
-    def lose(self, loss: Loss) -> None:
+    def kill_agents(self, loss: Loss) -> None:
         """Kill engines now; entries are notified after `detection_ms`."""
         for name in loss.agents:
             agent = self.agents[name]
-            if agent.alive:
+            if agent.is_alive:
                 self._kill(agent, loss.detection_ms)
 
     def _agent(self, name: str) -> Agent:
@@ -184,10 +184,10 @@
 
         self.after(
             arrival.at_ms - self.now_ms,
-            partial(self._arrive_and_go_on, arrival, arrivals),
+            partial(self._arrive_and_schedule_next, arrival, arrivals),
         )
 
-    def _arrive_and_go_on(
+    def _arrive_and_schedule_next(
         self,
         arrival: Arrival,
         arrivals: Iterator[Arrival],
@@ -200,8 +200,8 @@
             job,
             entry,
             self.now_ms,
-            sent=sent,
-            poisonous=job.team == self._behaviour.poison_team,
+            retries=sent,
+            is_poisonous=job.team == self._behaviour.poison_team,
         )
         self._by_generation[job.generation] = generation
         self._job_by_generation[job.generation] = job
@@ -215,56 +215,59 @@
             verdict = guard.check(job.team, placement.utilisation(PIN))
             if isinstance(verdict, Overloaded):
                 self._refuse(generation, f'entry {verdict.decided_by[:5]}')
-                self._resend(generation, verdict.retry_after_ms)
+                self._schedule_retry(generation, verdict.retry_after_ms)
                 return
         guard.record_start(job.team)
         self.budgets[entry].record_start(job.team)
         self._place(generation)
         if self._behaviour.impatient:
             self.after(
-                self._behaviour.patience_ms, partial(self._give_up, generation)
+                self._behaviour.first_token_timeout_ms,
+                partial(self._give_up, generation),
             )
 
     def _give_up(self, generation: Generation) -> None:
-        if generation.over or generation.produced:
+        if generation.is_over or generation.produced:
             return
         if self._behaviour.guarded:
             agent = self.agents[generation.agent]
             key = (generation.job.generation, generation.attempt)
             self._cancel(agent, key)
-        self._leave_agent(generation)
+        self._record_attempt_end(generation)
         self._end(generation, 'caller gave up')
-        self._resend(generation, self._behaviour.resend_delay_ms)
+        self._schedule_retry(generation, self._behaviour.retry_delay_ms)
 
     def _cancel(self, agent: Agent, key: tuple[str, int]) -> None:
         agent.gate.revoke(*key)
         agent.gate.record_end(*key)
         agent.engine.by_key.pop(key, None)
 
-    def _resend(self, generation: Generation, delay_ms: float) -> None:
+    def _schedule_retry(self, generation: Generation, delay_ms: float) -> None:
         """Schedule a retry by an impatient caller, as a new generation."""
         if (
             not self._behaviour.impatient
-            or generation.sent >= self._behaviour.resends_max
+            or generation.retries >= self._behaviour.retries_max
         ):
             return
         name = generation.job.generation.partition('/')[0]
         job = replace(
             generation.job,
-            generation=f'{name}/{generation.sent}',
+            generation=f'{name}/{generation.retries}',
         )
         resend = partial(
-            self._arrive, job, generation.entry, generation.sent + 1
+            self._arrive, job, generation.entry, generation.retries + 1
         )
-        self.after(max(delay_ms, self._behaviour.resend_delay_ms), resend)
+        self.after(max(delay_ms, self._behaviour.retry_delay_ms), resend)
 
     def _place(self, generation: Generation) -> None:
-        if generation.over:
+        if generation.is_over:
             return
         if not self._behaviour.guarded:
             self._choose(generation, suspect=False)
             return
-        match self.poison_guards[generation.entry].check(generation.content):
+        match self.poison_guards[generation.entry].check(
+            generation.fingerprint
+        ):
             case Quarantined():
                 self.figures.quarantined_teams[generation.job.team] += 1
                 self._end(generation, 'quarantined')
@@ -305,7 +308,7 @@
         avoided: frozenset[str] = frozenset()
         if suspect:
             guard = self.poison_guards[generation.entry]
-            avoided = guard.agents_with_other_suspects(generation.content)
+            avoided = guard.agents_with_other_suspects(generation.fingerprint)
         return PlacementRequest(
             generation=job.generation,
             team=job.team,
@@ -331,11 +334,11 @@
             suspect=suspect,
         )
 
-    def _declined(self, refused: Refused) -> None:
+    def _on_declined(self, refused: Refused) -> None:
         generation = self._by_generation.get(refused.generation)
         if generation is None or generation.attempt != refused.attempt:
             return
-        self._leave_agent(generation)
+        self._record_attempt_end(generation)
         generation.declines += 1
         generation.excluded |= {generation.agent}
         outcome = self.budgets[generation.entry].spend(
@@ -343,16 +346,16 @@
         )
         if generation.declines > DECLINES_MAX or isinstance(outcome, Denied):
             self._end(generation, f'agent {refused.reason}')
-            self._resend(generation, refused.retry_after_ms)
+            self._schedule_retry(generation, refused.retry_after_ms)
             return
         self._place(generation)
 
-    def _noticed(self, entry: int, agent: Agent) -> None:
+    def _on_loss_detected(self, entry: int, agent: Agent) -> None:
         placement = self.placements[entry]
         placement.record_loss(agent.name)
         self.poison_guards[entry].record_death(agent.name, agent.domain)
         for generation in tuple(self._by_generation.values()):
-            if generation.over or generation.entry != entry:
+            if generation.is_over or generation.entry != entry:
                 continue
             if generation.agent == agent.name:
                 self._resume(generation)
@@ -364,8 +367,10 @@
                 generation.agent,
                 request,
             )
-        generation.needed = max(generation.needed, generation.produced)
-        if self._behaviour.from_zero:
+        generation.delivered_tokens = max(
+            generation.delivered_tokens, generation.produced
+        )
+        if self._behaviour.restarts_from_zero:
             generation.produced = 0
         generation.excluded |= {generation.agent}
         outcome = self.budgets[generation.entry].spend(
@@ -376,7 +381,7 @@
             return
         self._place(generation)
 
-    def _leave_agent(self, generation: Generation) -> None:
+    def _record_attempt_end(self, generation: Generation) -> None:
         request = generation.request
         if request is not None:
             self.placements[generation.entry].record_end(
@@ -390,14 +395,14 @@
         )
 
     def _refuse(self, generation: Generation, reason: str) -> None:
-        generation.over = True
+        generation.is_over = True
         if self.now_ms >= self.figures.since_ms:
             self.figures.refused_by_reason[reason] += 1
             self.figures.refused_by_team[generation.job.team] += 1
             self.figures.refused_by_second[int(self.now_ms // 1000)] += 1
             if generation.produced:
                 self.figures.lost += 1
-                self.figures.lost_innocent += not generation.poisonous
+                self.figures.lost_innocent += not generation.is_poisonous
         self._by_generation.pop(generation.job.generation, None)
 
     def _end(self, generation: Generation, reason: str) -> None:
@@ -407,7 +412,7 @@
         self._refuse(generation, reason)
 
     def _finish(self, generation: Generation) -> None:
-        generation.over = True
+        generation.is_over = True
         entry = generation.entry
         if generation.request is not None:
             self.placements[entry].record_end(
@@ -430,13 +435,13 @@
     # Agent side.
 
     def _deliver(self, agent: Agent, dispatch: Dispatch) -> None:
-        if not agent.alive:
+        if not agent.is_alive:
             return
         match agent.gate.offer(dispatch):
             case Run():
                 self._start(agent, dispatch)
             case Refused() as refused:
-                self.after(LOCAL_DELAY_MS, partial(self._declined, refused))
+                self.after(LOCAL_DELAY_MS, partial(self._on_declined, refused))
             case _:
                 pass
         self._advance(agent)
@@ -445,8 +450,8 @@
         for dispatch in agent.gate.next_ready():
             self._start(agent, dispatch)
         for refused in agent.gate.take_refused():
-            self.after(LOCAL_DELAY_MS, partial(self._declined, refused))
-        if not agent.stepping and agent.engine.by_key:
+            self.after(LOCAL_DELAY_MS, partial(self._on_declined, refused))
+        if not agent.is_stepping and agent.engine.by_key:
             self._step(agent)
 
     def _start(self, agent: Agent, dispatch: Dispatch) -> None:
@@ -470,52 +475,52 @@
         dispatch: Dispatch,
         agent: Agent,
     ) -> None:
-        if generation.attempt == dispatch.attempt and not generation.over:
+        if generation.attempt == dispatch.attempt and not generation.is_over:
             self.poison_guards[generation.entry].record_start(
                 agent.name,
                 dispatch.generation,
-                generation.content,
+                generation.fingerprint,
             )
 
     def _step(self, agent: Agent) -> None:
-        agent.stepping = True
+        agent.is_stepping = True
         duration_ms, decoded = agent.engine.step()
-        self.after(duration_ms, partial(self._stepped, agent, decoded))
+        self.after(duration_ms, partial(self._on_step_end, agent, decoded))
 
-    def _stepped(self, agent: Agent, made: tuple[Sequence, ...]) -> None:
-        agent.stepping = False
-        if not agent.alive:
+    def _on_step_end(self, agent: Agent, made: tuple[Sequence, ...]) -> None:
+        agent.is_stepping = False
+        if not agent.is_alive:
             return
         for sequence in made:
-            self._token(agent, sequence)
+            self._on_token(agent, sequence)
         self._advance(agent)
 
-    def _token(self, agent: Agent, sequence: Sequence) -> None:
+    def _on_token(self, agent: Agent, sequence: Sequence) -> None:
         job = sequence.job
         generation = self._by_generation.get(job.generation)
         if generation is None or generation.agent != agent.name:
-            self._abandoned(agent, sequence)
+            self._release_abandoned(agent, sequence)
             return
         key = (job.generation, generation.attempt)
         agent.gate.record_progress(*key, sequence.produced)
-        if generation.poisonous and sequence.produced >= 2:
+        if generation.is_poisonous and sequence.produced >= 2:
             self._kill(agent, 50)
             return
-        if agent.alive:
-            self._received(generation, agent, sequence)
+        if agent.is_alive:
+            self._record_output(generation, agent, sequence)
         if sequence.is_done:
             agent.engine.by_key.pop(key)
             agent.gate.record_end(*key)
             self._finish(generation)
 
-    def _abandoned(self, agent: Agent, sequence: Sequence) -> None:
+    def _release_abandoned(self, agent: Agent, sequence: Sequence) -> None:
         """Free the slot of an abandoned sequence once the engine ends it."""
         if sequence.is_done:
             key = (sequence.job.generation, sequence.attempt)
             agent.engine.by_key.pop(key, None)
             agent.gate.record_end(*key)
 
-    def _received(
+    def _record_output(
         self,
         generation: Generation,
         agent: Agent,
@@ -532,7 +537,7 @@
         self._count_bytes(generation, agent, 1)
         if self.now_ms >= self.figures.since_ms:
             self._measure(generation, agent, sequence)
-        if generation.produced > generation.needed:
+        if generation.produced > generation.delivered_tokens:
             generation.lost_ms = 0
         generation.last_token_ms = self.now_ms
 
@@ -545,7 +550,7 @@
         second = int(self.now_ms // 1000)
         received_ms = self.now_ms + self._delay_ms(generation, agent)
         if generation.lost_ms:
-            if generation.produced > generation.needed:
+            if generation.produced > generation.delivered_tokens:
                 resumed_ms = received_ms - generation.lost_ms
                 self.figures.resume_ms.append(resumed_ms)
         elif generation.produced == 1:
@@ -557,23 +562,25 @@
             self.figures.record_between(second, between_ms)
 
     def _kill(self, agent: Agent, detection_ms: float) -> None:
-        agent.alive = False
+        agent.is_alive = False
         self.figures.deaths_by_region[agent.region] += 1
         for generation in self._by_generation.values():
-            if generation.agent == agent.name and not generation.over:
+            if generation.agent == agent.name and not generation.is_over:
                 generation.lost_ms = generation.lost_ms or self.now_ms
         restart_ms = self._behaviour.restart_ms
         if restart_ms:
             self.after(restart_ms, partial(self._restart, agent.name))
         for entry, _ in enumerate(ENTRY_REGIONS):
-            self.after(detection_ms, partial(self._noticed, entry, agent))
+            self.after(
+                detection_ms, partial(self._on_loss_detected, entry, agent)
+            )
 
-    def _tell_charges(self) -> None:
+    def _propagate_charges(self) -> None:
         pairs = zip(self.poison_guards, self._sinks, strict=True)
         for guard, sink in pairs:
             for notice in guard.pop_changed_charges():
                 sink.send(notice)
-        self.after(CHARGE_INTERVAL_MS, self._tell_charges)
+        self.after(CHARGE_INTERVAL_MS, self._propagate_charges)
 
     def _restart(self, name: str) -> None:
         self.agents[name] = self._agent(name)
@@ -582,13 +589,13 @@
 
     def _report_all(self) -> None:
         for agent in self.agents.values():
-            if agent.alive:
+            if agent.is_alive:
                 self._report(agent)
         self.after(REPORT_INTERVAL_MS, self._report_all)
 
     def _report(self, agent: Agent) -> None:
         lag_ms = self.conditions.report_lag_ms
-        arriving_fraction = 1 - self.conditions.lost_event_share
+        arriving_fraction = 1 - self.conditions.lost_event_fraction
         cached = tuple(
             prefix_hash
             for prefix_hash in agent.engine.cache_events
@@ -603,7 +610,7 @@
         self.after(lag_ms, partial(self._reported, agent, report))
 
     def _reported(self, agent: Agent, report: LoadReport) -> None:
-        if agent.alive:
+        if agent.is_alive:
             for placement in self.placements:
                 placement.record_load(agent.name, report)
 
@@ -612,7 +619,7 @@
             loads = [
                 agent.engine.kv_tokens
                 for agent in self.agents.values()
-                if agent.alive
+                if agent.is_alive
             ]
             mean = sum(loads) / max(len(loads), 1)
             if mean:
--- a/benchmarks/fleet_parts.py
+++ b/benchmarks/fleet_parts.py
@@ -42,7 +42,7 @@
     """
 
     report_lag_ms: float = 50
-    lost_event_share: float = 0
+    lost_event_fraction: float = 0
     slow_agent: str = ''
     slowdown: float = 1
 
@@ -73,12 +73,12 @@
 
     guarded: bool = True
     impatient: bool = False
-    from_zero: bool = False
+    restarts_from_zero: bool = False
     restart_ms: float = 0
     poison_team: str = ''
-    patience_ms: float = 10_000
-    resends_max: int = 3
-    resend_delay_ms: float = 1000
+    first_token_timeout_ms: float = 10_000
+    retries_max: int = 3
+    retry_delay_ms: float = 1000
 
 
 NOMINAL = Conditions()
@@ -113,15 +113,15 @@
     lost_ms: float = 0
     last_token_ms: float = 0
     request: PlacementRequest | None = None
-    over: bool = False
-    poisonous: bool = False
-    sent: int = 0
-    needed: int = 0
+    is_over: bool = False
+    is_poisonous: bool = False
+    retries: int = 0
+    delivered_tokens: int = 0
 
     @property
-    def content(self) -> int:
+    def fingerprint(self) -> int:
         """Return the fingerprint; poison requests of one team share it."""
-        text = self.job.team if self.poisonous else self.job.generation
+        text = self.job.team if self.is_poisonous else self.job.generation
         return hash_text(text)
 
 
@@ -144,8 +144,8 @@
         self.domain = name[:4]
         self.engine = engine
         self.gate = gate
-        self.alive = True
-        self.stepping = False
+        self.is_alive = True
+        self.is_stepping = False
 
 
 def bounded_gate(clock: Clock, rules: GateRules) -> AdmissionGate:
--- a/benchmarks/resume_policy.py
+++ b/benchmarks/resume_policy.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True)
-class Way:
+class ResumeStrategy:
     """One resume policy; a `naive` one lets the caller restart from zero."""
 
     name: str
@@ -101,26 +101,26 @@
     naive: bool = False
 
 
-ON_DEMAND = Way('on demand', ResumePolicy(cross_region=False))
-ON_DEMAND_CROSS = Way('on demand, cross-region', ResumePolicy())
-WARM = Way(
+ON_DEMAND = ResumeStrategy('on demand', ResumePolicy(cross_region=False))
+ON_DEMAND_CROSS = ResumeStrategy('on demand, cross-region', ResumePolicy())
+WARM = ResumeStrategy(
     'warm standby',
     ResumePolicy(mode=ResumeMode.WARM_STANDBY, cross_region=False),
 )
-WARM_CROSS = Way(
+WARM_CROSS = ResumeStrategy(
     'warm standby, cross-region',
     ResumePolicy(mode=ResumeMode.WARM_STANDBY),
 )
-NAIVE = Way(
+NAIVE = ResumeStrategy(
     'restart from zero',
     ResumePolicy(max_attempts=1, cross_region=False),
     naive=True,
 )
-WAYS = (NAIVE, ON_DEMAND, ON_DEMAND_CROSS, WARM, WARM_CROSS)
+STRATEGIES = (NAIVE, ON_DEMAND, ON_DEMAND_CROSS, WARM, WARM_CROSS)
 
 
 @dataclass
-class Use:
+class ResourceUse:
     """Outcomes and resources used, summed over the generations of runs.
 
     `resume_ms` holds the time from the fault to new output at the caller;
@@ -128,7 +128,7 @@
     """
 
     resume_ms: list[float] = field(default_factory=list)
-    whole: int = 0
+    complete: int = 0
     refused: int = 0
     prefill_tokens: int = 0
     decoded_tokens: int = 0
@@ -201,8 +201,10 @@
 class Run:
     """One deployment under load with at most one fault."""
 
-    def __init__(self, site: Site, way: Way, fault: Fault, seed: int) -> None:
-        self.use = Use()
+    def __init__(
+        self, site: Site, way: ResumeStrategy, fault: Fault, seed: int
+    ) -> None:
+        self.use = ResourceUse()
         self._site = site
         self._way = way
         self._fault = fault
@@ -219,7 +221,7 @@
         self._victims: set[str] = set()
         self._lives: list[LiveGeneration] = []
 
-    async def run(self) -> Use:
+    async def run(self) -> ResourceUse:
         """Run until every answer has ended; return outcomes and resources."""
         sampling = asyncio.create_task(self._sample())
         tasks = []
@@ -232,7 +234,7 @@
             + self._seed * FAULT_STEP_MS
             - self._deployment.clock.now_ms()
         )
-        self._strike()
+        self._inject_fault()
         await asyncio.gather(*tasks)
         sampling.cancel()
         self._count()
@@ -248,7 +250,7 @@
         if live.generation.refusal is not None:
             self.use.refused += 1
             return
-        self.use.whole += 1
+        self.use.complete += 1
         verify_answer(prompt, ''.join(live.generation.tokens), OUTPUT_TOKENS)
 
     def _open(self, prompt: str) -> LiveGeneration:
@@ -270,19 +272,19 @@
         while not generation.is_over:
             live.consumed_tokens = generation.offset
             await live.wait_change()
-            if not is_recorded and self._went_on(live, held):
+            if not is_recorded and self._has_resumed(live, held):
                 is_recorded = True
                 resumed_ms = self._deployment.clock.now_ms() - self._fault_ms
                 self.use.resume_ms.append(resumed_ms + self._site.client_ms)
         return generation.offset
 
-    def _went_on(self, live: LiveGeneration, held: int) -> bool:
+    def _has_resumed(self, live: LiveGeneration, held: int) -> bool:
         if held:
             return live.generation.offset > held
         is_resumed = live.attempts > 1 and live.resumed_offset > 0
         return is_resumed and live.generation.offset > live.resumed_offset
 
-    def _strike(self) -> None:
+    def _inject_fault(self) -> None:
         self._fault_ms = self._deployment.clock.now_ms()
         match self._fault:
             case Fault.NONE:
@@ -296,7 +298,7 @@
             case _:
                 nodes = [self._busiest()]
         for node in nodes:
-            self._strike_node(node)
+            self._inject_node_fault(node)
 
     def _busiest(self) -> AgentNode:
         return max(
@@ -304,7 +306,7 @@
             key=lambda node: node.agent.attempts.running_count,
         )
 
-    def _strike_node(self, node: AgentNode) -> None:
+    def _inject_node_fault(self, node: AgentNode) -> None:
         match self._fault:
             case Fault.ENGINE_DEATH:
                 node.engine.die()
@@ -341,16 +343,16 @@
 
 def measure_use(
     site: Site,
-    way: Way,
+    way: ResumeStrategy,
     fault: Fault,
     seeds: Iterable[int] = SEEDS,
-) -> Use:
+) -> ResourceUse:
     """Run once for each seed; return the summed outcomes and resources."""
-    total = Use()
+    total = ResourceUse()
     for seed in seeds:
         use = run_virtual(_run(site, way, fault, seed))
         total.resume_ms += use.resume_ms
-        total.whole += use.whole
+        total.complete += use.complete
         total.refused += use.refused
         total.prefill_tokens += use.prefill_tokens
         total.decoded_tokens += use.decoded_tokens
@@ -359,15 +361,17 @@
     return total
 
 
-async def _run(site: Site, way: Way, fault: Fault, seed: int) -> Use:
+async def _run(
+    site: Site, way: ResumeStrategy, fault: Fault, seed: int
+) -> ResourceUse:
     return await Run(site, way, fault, seed).run()
 
 
 def make_row(
     site: Site,
-    way: Way,
+    way: ResumeStrategy,
     fault: Fault,
-    clean: Use,
+    clean: ResourceUse,
     seeds: Iterable[int] = SEEDS,
 ) -> Row:
     """Return one row; `clean` is a run without fault and without standby."""
@@ -380,7 +384,7 @@
         fault=fault,
         way=way.name,
         lost=lost,
-        whole_share=use.whole / (use.whole + use.refused),
+        whole_share=use.complete / (use.complete + use.refused),
         p50_ms=percentile(use.resume_ms, 0.5),
         p95_ms=percentile(use.resume_ms, 0.95),
         extra_prefill=(use.prefill_tokens - clean.prefill_tokens) / lost,
@@ -395,7 +399,7 @@
     for site in SITES:
         clean = measure_use(site, ON_DEMAND, Fault.NONE)
         for fault in tuple(Fault)[1:]:
-            for way in WAYS:
+            for way in STRATEGIES:
                 yield make_row(site, way, fault, clean)
 
 
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -34,7 +34,7 @@
 from benchmarks.topology import (
     ALL_AGENTS,
     ENTRY_REGIONS,
-    ENTRY_SHARES,
+    ENTRY_WEIGHTS,
     agents_of,
     published_fleet,
 )
@@ -50,7 +50,7 @@
 OVERLOAD = 1.5
 WARM_UP_MS = 40_000
 MEASURED_MS = 80_000
-AFTERMATH_S = 10
+RECOVERY_WINDOW_S = 10
 FIRST_TOKEN_TARGET_MS = 880
 BETWEEN_TOKENS_TARGET_MS = 37
 RESUME_TARGET_MS = 3000
@@ -59,8 +59,8 @@
 
 SLOW = Conditions(slow_agent='r0d0a0', slowdown=3)
 LAGGING = Conditions(report_lag_ms=2000)
-GAPS = Conditions(lost_event_share=0.5)
-NAIVE = Behaviour(guarded=False, from_zero=True)
+GAPS = Conditions(lost_event_fraction=0.5)
+NAIVE = Behaviour(guarded=False, restarts_from_zero=True)
 
 
 def scored(clock: Clock, entry: int) -> ScoredPlacement:
@@ -116,7 +116,7 @@
 
 def equal_teams(phases: tuple[Phase, ...], seed: int = 7) -> Workload:
     """Return a workload of ten teams with equal arrival rates."""
-    return Workload(dict.fromkeys(TEAMS, 1), ENTRY_SHARES, phases, seed)
+    return Workload(dict.fromkeys(TEAMS, 1), ENTRY_WEIGHTS, phases, seed)
 
 
 def phase(duration_ms: float, load: float) -> Phase:
@@ -263,7 +263,9 @@
     return OverloadRow(
         served_per_s=overloaded / (overload_end - start),
         overload_p95_ms=_first_token_p95(figures, start, overload_end),
-        after_p95_ms=_first_token_p95(figures, end - 3 * AFTERMATH_S, end),
+        after_p95_ms=_first_token_p95(
+            figures, end - 3 * RECOVERY_WINDOW_S, end
+        ),
         recovery_s=_recovery_s(figures, overload_end, end),
         p95_ms_by_second={
             second: _first_token_p95(figures, second - 5, second)
@@ -288,8 +290,8 @@
 
 def _recovery_s(figures: Figures, back_s: int, end_s: int) -> int | None:
     recovered: int | None = None
-    for start_s in range(end_s - AFTERMATH_S, back_s - 1, -1):
-        stop_s = start_s + AFTERMATH_S
+    for start_s in range(end_s - RECOVERY_WINDOW_S, back_s - 1, -1):
+        stop_s = start_s + RECOVERY_WINDOW_S
         started = sum(
             len(figures.first_token_by_second.get(second, ()))
             for second in range(start_s, stop_s)
@@ -338,7 +340,7 @@
     """Measure the resumes after a loss of engines."""
     dead = ALL_AGENTS[::5] if case.scattered else agents_of('r0d1')
     loss = Loss(case.warm_up_ms, dead, case.detection_ms)
-    until_ms = case.warm_up_ms + 3 * AFTERMATH_S * 1000
+    until_ms = case.warm_up_ms + 3 * RECOVERY_WINDOW_S * 1000
     lost_s = int(case.warm_up_ms // 1000)
     resume_ms: list[float] = []
     waits: list[float] = []
@@ -351,8 +353,8 @@
         figures = fleet.run(workload, (loss,), until_ms=until_ms)
         resume_ms += figures.resume_ms
         refused += sum(figures.refused_by_reason.values())
-        unresumed += figures.lost + fleet.still_lost()
-        for second in range(lost_s, lost_s + AFTERMATH_S):
+        unresumed += figures.lost + fleet.unresumed_count()
+        for second in range(lost_s, lost_s + RECOVERY_WINDOW_S):
             waits += figures.first_token_by_second.get(second, [])
             between_tokens += figures.between_by_second.get(second, Counter())
     return LossRow(
@@ -414,7 +416,7 @@
         behaviour = replace(PRODUCT, guarded=case.guarded)
         fleet = Fleet(scored, bounded_gate, NOMINAL, behaviour, WARM_UP_MS)
         phases = (phase(until_ms, case.load * scale),)
-        workload = Workload(weights, ENTRY_SHARES, phases, seed)
+        workload = Workload(weights, ENTRY_WEIGHTS, phases, seed)
         figures = fleet.run(workload, until_ms=until_ms)
         by_team = figures.first_token_ms_by_team
         large += len(by_team.get(TEAMS[0], ()))
@@ -466,7 +468,7 @@
     fleet = Fleet(scored, bounded_gate, NOMINAL, behaviour, case.warm_up_ms)
     workload = Workload(
         weights,
-        ENTRY_SHARES,
+        ENTRY_WEIGHTS,
         (phase(until_ms, NORMAL_LOAD),),
         start_ms_by_team={'poison': case.warm_up_ms},
     )
--- a/benchmarks/test_resume_policy.py
+++ b/benchmarks/test_resume_policy.py
@@ -11,8 +11,8 @@
     SITES,
     WARM_CROSS,
     Fault,
-    Use,
-    Way,
+    ResourceUse,
+    ResumeStrategy,
     measure_use,
 )
 
@@ -26,7 +26,7 @@
 
 
 @functools.cache
-def _measure(way: Way, fault: Fault) -> Use:
+def _measure(way: ResumeStrategy, fault: Fault) -> ResourceUse:
     return measure_use(TERMOLAB, way, fault, SEEDS)
 
 
--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -16,7 +16,7 @@
 DOMAINS = ('r0d0', 'r0d1', 'r0d2', 'r1d0', 'r1d1')
 AGENTS_PER_DOMAIN = 5
 ENTRY_REGIONS = ('r0', 'r0', 'r1')
-ENTRY_SHARES = (0.3, 0.3, 0.4)
+ENTRY_WEIGHTS = (0.3, 0.3, 0.4)
 EGRESS_PRICE_PER_GB = 20
 
 
--- a/benchmarks/workload.py
+++ b/benchmarks/workload.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 BLOCK_TOKENS = 256
-LONG_SHARE = 0.04
+LONG_OUTPUT_FRACTION = 0.04
 SHORT_OUTPUT_TOKENS = 180
 LONG_OUTPUT_TOKENS = (1000, 3000)
 PREFIX_BLOCKS = (2, 14)
@@ -67,8 +67,8 @@
         Time before which a team sends nothing; 0 for teams not listed.
     """
 
-    share_by_team: dict[str, float]
-    entry_shares: tuple[float, ...]
+    weight_by_team: dict[str, float]
+    entry_weights: tuple[float, ...]
     phases: tuple[Phase, ...]
     seed: int = 7
     start_ms_by_team: dict[str, float] = field(default_factory=dict)
@@ -76,9 +76,9 @@
     def arrivals(self) -> Iterator[Arrival]:
         """Yield all arrivals in order of their time."""
         draw = random.Random(self.seed)
-        teams = sorted(self.share_by_team)
-        weights = [self.share_by_team[team] for team in teams]
-        entries = range(len(self.entry_shares))
+        teams = sorted(self.weight_by_team)
+        weights = [self.weight_by_team[team] for team in teams]
+        entries = range(len(self.entry_weights))
         phase_start_ms = float(0)
         serial = 0
         for phase in self.phases:
@@ -90,7 +90,7 @@
                     break
                 serial += 1
                 team = draw.choices(teams, weights)[0]
-                entry = draw.choices(entries, self.entry_shares)[0]
+                entry = draw.choices(entries, self.entry_weights)[0]
                 job = draw_job(draw, team, serial)
                 if at_ms >= self.start_ms_by_team.get(team, 0):
                     yield Arrival(at_ms, entry, job)
@@ -103,7 +103,7 @@
     shared_blocks = shape.randint(*PREFIX_BLOCKS)
     unique_blocks = draw.randint(*SUFFIX_BLOCKS)
     output_tokens = int(draw.expovariate(1 / SHORT_OUTPUT_TOKENS)) + 8
-    if draw.random() < LONG_SHARE:
+    if draw.random() < LONG_OUTPUT_FRACTION:
         output_tokens = draw.randint(*LONG_OUTPUT_TOKENS)
     shared = [shape.getrandbits(62) for _ in range(shared_blocks)]
     unique = [(serial << 8) + index for index in range(unique_blocks)]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -6,8 +6,8 @@
     ComputedRow,
     Fit,
     MeasuredRow,
-    OpenRow,
     Role,
+    UnmeasuredRow,
 )
 
 ROWS = (
@@ -23,7 +23,7 @@
         factor=2,
     ),
     ComputedRow(Role.TABLE, 'leases', Budget.READS, 500, 'inputs', 'budget'),
-    OpenRow(Role.DATA_PATH, 'tokens'),
+    UnmeasuredRow(Role.DATA_PATH, 'tokens'),
 )
 
 
