--- a/benchmarks/fleet_parts.py
+++ b/benchmarks/fleet_parts.py
@@ -35,7 +35,7 @@
     ----------
     report_lag_ms
         Age of a load report when it arrives.
-    lost_event_share
+    lost_event_fraction
         Fraction of the cache events that never arrive.
     slow_agent, slowdown
         Name of an engine whose steps take `slowdown` times as long.
@@ -57,17 +57,17 @@
         Whether entries use the overload guard, the retry budget and the poison
         guard, and cancel attempts whose caller has given up.
     impatient
-        Whether callers give up after `patience_ms` without a token, and retry
-        requests that they gave up or that were refused.
-    from_zero
+        Whether callers give up after `first_token_timeout_ms` without a token,
+        and retry requests that they gave up or that were refused.
+    restarts_from_zero
         Whether a lost generation restarts without the tokens that it had.
     restart_ms
         Time until a dead engine restarts; 0 for never.
     poison_team
         Team whose requests kill an engine; empty for none.
-    patience_ms
+    first_token_timeout_ms
         Time without a first token after which an impatient caller gives up.
-    resends_max, resend_delay_ms
+    retries_max, retry_delay_ms
         Retries of an impatient caller, and the least delay before each.
     """
 
@@ -98,8 +98,8 @@
 class Generation:
     """One request, its current attempt and the tokens its caller has.
 
-    `sent` counts retries by the caller, `needed` the tokens that the caller
-    already had at a loss, `lost_ms` is the time of the loss or 0.
+    `retries` counts those of the caller, `delivered_tokens` the tokens that
+    the caller had at a loss; `lost_ms` is the time of the loss or 0.
     """
 
     job: Job
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -232,8 +232,8 @@
     """Figures of an `OverloadCase`.
 
     `recovery_s` is the time from the return to 80% load until every later
-    window of `AFTERMATH_S` meets the first token target and starts 90% of the
-    arrivals; None if the fleet does not recover.
+    window of `RECOVERY_WINDOW_S` meets the first token target and starts 90%
+    of the arrivals; None if the fleet does not recover.
     """
 
     served_per_s: float
@@ -325,7 +325,7 @@
 
     `resume_ms` holds p50, p95 and the maximum of the time from the loss to the
     first token that the caller did not have yet. Time between tokens and time
-    to first token cover the `AFTERMATH_S` that follow the loss.
+    to first token cover the `RECOVERY_WINDOW_S` that follow the loss.
     """
 
     resumed: int
--- a/benchmarks/workload.py
+++ b/benchmarks/workload.py
@@ -55,9 +55,9 @@
 
     Parameters
     ----------
-    share_by_team
+    weight_by_team
         Relative arrival rate of each team; they need not sum to one.
-    entry_shares
+    entry_weights
         Relative arrival rate of each entry.
     phases
         Periods of constant load, one after the other.
