--- a/bergamotthread/cli/audit.py
+++ b/bergamotthread/cli/audit.py
@@ -66,7 +66,7 @@
         _verify(records)
     audit_filter = AuditFilter(kind, subject, who)
     for record in records:
-        if audit_filter.selects(record):
+        if audit_filter.matches(record):
             click.echo(_as_json(record) if as_json else _as_line(record))
 
 
--- a/bergamotthread/process/calls/call_executor.py
+++ b/bergamotthread/process/calls/call_executor.py
@@ -22,8 +22,8 @@
 from bergamotthread.connection.transport import Transport
 from bergamotthread.process.calls.ticket_book import TicketBook
 from bergamotthread.wire.messages import (
-    FENCE_HEADER,
-    KEY_HEADER,
+    FENCING_TOKEN_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
     CallDispatch,
     CallOffer,
     CallOfferReply,
@@ -295,10 +295,13 @@
         )
 
     def _service_request(self, dispatch: CallDispatch) -> ServiceRequest:
-        added = [(KEY_HEADER, dispatch.key)] if dispatch.key else []
+        added = [(IDEMPOTENCY_KEY_HEADER, dispatch.key)] if dispatch.key else []
         if dispatch.fence:
-            added.append((FENCE_HEADER, str(dispatch.fence)))
-        replaced_names = {KEY_HEADER.lower(), FENCE_HEADER.lower()}
+            added.append((FENCING_TOKEN_HEADER, str(dispatch.fence)))
+        replaced_names = {
+            IDEMPOTENCY_KEY_HEADER.lower(),
+            FENCING_TOKEN_HEADER.lower(),
+        }
         forwarded = [
             (name, header_value)
             for name, header_value in dispatch.headers
--- a/bergamotthread/process/entry_app.py
+++ b/bergamotthread/process/entry_app.py
@@ -305,7 +305,7 @@
         if not isinstance(error, RefusedError):
             raise error
         refusal = _add_request_context(error.refusal, request)
-        return problem_response(self._recorder.stamp(refusal))
+        return problem_response(self._recorder.record_refusal(refusal))
 
 
 async def _collect(stream: CompletionStream, answers: list[bytes]) -> None:
--- a/bergamotthread/process/entry_process.py
+++ b/bergamotthread/process/entry_process.py
@@ -97,7 +97,7 @@
                 self.app.starlette(),
                 settings,
                 clock,
-                self._recorder.stamp,
+                self._recorder.record_refusal,
             ),
         )
 
@@ -287,7 +287,7 @@
             self.generations,
             CursorSigner(_cursor_keys(self._settings)),
             self._clock,
-            self._recorder.stamp,
+            self._recorder.record_refusal,
         )
 
     def _app_parts(self) -> EntryParts:
--- a/bergamotthread/process/explanations/audit.py
+++ b/bergamotthread/process/explanations/audit.py
@@ -99,10 +99,10 @@
     ) -> None:
         self._store = object_store
         self._clock = clock
-        self._prefix = writer
-        self._waiting: deque[AuditRecord] = deque()
-        self._sending: _Batch | None = None
-        self._unreported = 0
+        self._writer_prefix = writer
+        self._buffer: deque[AuditRecord] = deque()
+        self._batch_in_flight: _Batch | None = None
+        self._unreported_count = 0
         self._lock = asyncio.Lock()
         self._sequence = 0
         self._digest = ''
@@ -115,9 +115,9 @@
         return self._writer
 
     @property
-    def buffered(self) -> int:
+    def buffered_count(self) -> int:
         """Return the number of records that wait for the store."""
-        return len(self._waiting)
+        return len(self._buffer)
 
     async def append(
         self,
@@ -158,9 +158,9 @@
         bool
             False if the buffer was full and the record was dropped.
         """
-        if len(self._waiting) >= MAX_BUFFERED_RECORDS:
+        if len(self._buffer) >= MAX_BUFFERED_RECORDS:
             self.lost += 1
-            self._unreported += 1
+            self._unreported_count += 1
             logging.error(
                 'audit buffer full, dropped record: %s %s by %s',
                 kind,
@@ -168,7 +168,7 @@
                 who,
             )
             return False
-        self._report_lost()
+        self._record_lost_count()
         record = AuditRecord(
             writer=self._writer,
             sequence=0,
@@ -192,8 +192,8 @@
             If the store did not answer; the records stay in the buffer.
         """
         async with self._lock:
-            self._report_lost()
-            while self._waiting:
+            self._record_lost_count()
+            while self._buffer:
                 await self._send_batch()
 
     async def run(self) -> None:
@@ -206,7 +206,7 @@
                     logging.WARNING,
                     'audit store unavailable, %d records buffered, %d lost: %s',
                     LOG_INTERVAL_S,
-                    len(self._waiting),
+                    len(self._buffer),
                     self.lost,
                     error,
                 )
@@ -215,23 +215,23 @@
     async def _send_batch(self) -> None:
         # The same body is sent until the store confirms it, since the answer to
         # a successful write may be lost.
-        batch = self._sending or self._make_batch()
-        self._sending = batch
+        batch = self._batch_in_flight or self._make_batch()
+        self._batch_in_flight = batch
         try:
             await self._store.put(batch.name, batch.body)
         except StoreConflictError:
-            self._start_anew()
+            self._use_new_writer_id()
             return
-        self._sending = None
+        self._batch_in_flight = None
         for _ in range(batch.count):
-            self._waiting.popleft()
+            self._buffer.popleft()
 
-    def _report_lost(self) -> None:
-        has_room = len(self._waiting) < MAX_BUFFERED_RECORDS - 1
-        if not (self._unreported and has_room):
+    def _record_lost_count(self) -> None:
+        has_room = len(self._buffer) < MAX_BUFFERED_RECORDS - 1
+        if not (self._unreported_count and has_room):
             return
-        detail = {'count': str(self._unreported)}
-        self._unreported = 0
+        detail = {'count': str(self._unreported_count)}
+        self._unreported_count = 0
         self._chain(
             AuditRecord(
                 writer=self._writer,
@@ -252,28 +252,28 @@
             sequence=self._sequence,
         )
         self._digest = numbered.digest_after(self._digest)
-        self._waiting.append(
+        self._buffer.append(
             msgspec.structs.replace(numbered, digest=self._digest),
         )
 
     def _make_batch(self) -> _Batch:
-        count = min(len(self._waiting), MAX_BATCH_RECORDS)
-        records = tuple(self._waiting)[:count]
+        count = min(len(self._buffer), MAX_BATCH_RECORDS)
+        records = tuple(self._buffer)[:count]
         first = records[0]
         hour = hour_of(first.at_ms)
         name = f'{AUDIT_PREFIX}{hour}/{first.writer}/{first.sequence:010d}'
         return _Batch(name, msgspec.json.encode(records), count)
 
-    def _start_anew(self) -> None:
+    def _use_new_writer_id(self) -> None:
         """Chain the buffered records under a new id, as the name is taken."""
         logging.error(
             'audit object name of writer %s is taken; using a new writer id',
             self._writer,
         )
-        waiting = tuple(self._waiting)
-        self._waiting.clear()
-        self._sending = None
-        self._writer = _unique_id(self._prefix)
+        waiting = tuple(self._buffer)
+        self._buffer.clear()
+        self._batch_in_flight = None
+        self._writer = _unique_id(self._writer_prefix)
         self._sequence = 0
         self._digest = ''
         for record in waiting:
--- a/bergamotthread/process/explanations/audit_reader.py
+++ b/bergamotthread/process/explanations/audit_reader.py
@@ -40,7 +40,7 @@
     subject: str = ''
     who: str = ''
 
-    def selects(self, record: AuditRecord) -> bool:
+    def matches(self, record: AuditRecord) -> bool:
         """Return whether a record matches all fields."""
         return (
             self.kind in {'', record.kind}
@@ -77,7 +77,7 @@
             )
         for name in names:
             records.extend(await _read_batch(object_store, name))
-    return tuple(sorted(records, key=_order_of))
+    return tuple(sorted(records, key=_sort_key))
 
 
 def verify_chains(records: Iterable[AuditRecord]) -> tuple[str, ...]:
@@ -127,7 +127,7 @@
     first = ordered[0]
     previous_digest = '' if first.sequence == 1 else None
     for expected, record in enumerate(ordered, first.sequence):
-        fault = _fault_of(record, expected, previous_digest)
+        fault = _find_fault(record, expected, previous_digest)
         if fault:
             message = f'{writer}: record {expected} {fault}'
             yield AuditChainError(message, step=Step.RECORD)
@@ -135,7 +135,7 @@
         previous_digest = record.digest
 
 
-def _fault_of(
+def _find_fault(
     record: AuditRecord,
     expected: int,
     previous_digest: str | None,
@@ -154,7 +154,7 @@
     return record.sequence
 
 
-def _order_of(record: AuditRecord) -> tuple[int, str, int]:
+def _sort_key(record: AuditRecord) -> tuple[int, str, int]:
     return (record.at_ms, record.writer, record.sequence)
 
 
--- a/bergamotthread/process/explanations/decision_trace.py
+++ b/bergamotthread/process/explanations/decision_trace.py
@@ -149,7 +149,7 @@
         self._write = write
         self._put(HeaderRecord(TRACE_VERSION))
 
-    def admitted(self, live: LiveGeneration) -> None:
+    def record_admitted(self, live: LiveGeneration) -> None:
         """Record the admission of a generation."""
         spec = live.generation.spec
         self._put(
@@ -158,7 +158,9 @@
             )
         )
 
-    def attempt(self, live: LiveGeneration, *, adopted: bool = False) -> None:
+    def record_attempt(
+        self, live: LiveGeneration, *, adopted: bool = False
+    ) -> None:
         """Record the start of the current attempt."""
         place = live.generation.place
         self._put(
@@ -171,7 +173,7 @@
             )
         )
 
-    def confirmed(
+    def record_confirmed(
         self,
         live: LiveGeneration,
         *,
@@ -188,7 +190,7 @@
             )
         )
 
-    def frame(self, frame: Frame, envelope: Envelope) -> None:
+    def record_frame(self, frame: Frame, envelope: Envelope) -> None:
         """Record a frame of a generation that this entry holds."""
         end = frame.end
         self._put(
@@ -205,7 +207,7 @@
             )
         )
 
-    def outcome(self, live: LiveGeneration, outcome: Outcome) -> None:
+    def record_outcome(self, live: LiveGeneration, outcome: Outcome) -> None:
         """Record how the current attempt ended."""
         name, cause = _outcome_texts(outcome)
         generation_id = live.generation.spec.generation
@@ -213,13 +215,15 @@
             OutcomeRecord(self._clock.now_ms(), generation_id, name, cause)
         )
 
-    def revoked(self, live: LiveGeneration, attempt: int, agent: str) -> None:
+    def record_revoked(
+        self, live: LiveGeneration, attempt: int, agent: str
+    ) -> None:
         """Record that an agent will never dispatch an attempt."""
         generation_id = live.generation.spec.generation
         now_ms = self._clock.now_ms()
         self._put(RevokedRecord(now_ms, generation_id, attempt, agent))
 
-    def restored(self, live: LiveGeneration) -> None:
+    def record_restored(self, live: LiveGeneration) -> None:
         """Record that the caller's tokens replaced the output."""
         generation = live.generation
         self._put(
@@ -230,7 +234,7 @@
             )
         )
 
-    def end(self, live: LiveGeneration) -> None:
+    def record_end(self, live: LiveGeneration) -> None:
         """Record the end of a generation."""
         generation = live.generation
         refusal = generation.refusal
--- a/bergamotthread/process/explanations/explanation_metrics.py
+++ b/bergamotthread/process/explanations/explanation_metrics.py
@@ -15,7 +15,7 @@
     metrics.gauge(
         'explanations_kept',
         'Refusals that wait to be written.',
-        lambda: explanations.kept,
+        lambda: explanations.kept_count,
     )
     metrics.gauge(
         'explanations_lost',
--- a/bergamotthread/process/explanations/explanations.py
+++ b/bergamotthread/process/explanations/explanations.py
@@ -26,12 +26,12 @@
 from bergamotthread.process.store.platform import ObjectStore
 from bergamotthread.request.refusal import Refusal
 
-LINGER_MS = 1000
-MIN_INTERVAL_MS = 10_000
+BATCH_DELAY_MS = 1000
+MIN_WRITE_INTERVAL_MS = 10_000
 CATCH_UP_INTERVAL_MS = 500
-RETRY_MS = 1000
-RETRY_MAX_MS = 30_000
-MAX_DOUBLINGS = 8
+INITIAL_RETRY_DELAY_MS = 1000
+MAX_RETRY_DELAY_MS = 30_000
+MAX_DELAY_DOUBLINGS = 8
 MAX_BATCH_REFUSALS = 1000
 MAX_KEPT_REFUSALS = 10_000
 MAX_KEPT_BYTES = 4_194_304
@@ -97,7 +97,7 @@
         self._wake = asyncio.Event()
 
     @property
-    def kept(self) -> int:
+    def kept_count(self) -> int:
         """Return the number of refusals that wait to be written."""
         waiting = sum(len(batch.refusals_by_id) for batch in self._waiting)
         return waiting + len(self._open.refusals_by_id)
@@ -116,8 +116,8 @@
         kept. Callers must therefore be given the returned id.
         """
         if self._is_full(refusal):
-            return self._lose(refusal)
-        if not self._is_open(refusal.request_id):
+            return self._record_lost(refusal)
+        if not self._is_id_usable(refusal.request_id):
             request_id = self.new_request_id()
             refusal = msgspec.structs.replace(refusal, request_id=request_id)
         self._open.refusals_by_id[refusal.request_id] = refusal
@@ -161,11 +161,11 @@
         """Write batches until cancelled."""
         while True:
             await self._wake.wait()
-            await self._clock.sleep_ms(LINGER_MS)
+            await self._clock.sleep_ms(BATCH_DELAY_MS)
             self._wake.clear()
             self._close_batch()
             await self._write_waiting()
-            await self._clock.sleep_ms(MIN_INTERVAL_MS - LINGER_MS)
+            await self._clock.sleep_ms(MIN_WRITE_INTERVAL_MS - BATCH_DELAY_MS)
 
     async def flush(self) -> None:
         """Write all waiting refusals before the process ends, without retries.
@@ -180,14 +180,14 @@
             await self._write(self._waiting[0])
 
     def _is_full(self, refusal: Refusal) -> bool:
-        if self.kept >= MAX_KEPT_REFUSALS:
+        if self.kept_count >= MAX_KEPT_REFUSALS:
             return True
         kept_bytes = self._open.size + sum(
             batch.size for batch in self._waiting
         )
         return kept_bytes + _size(refusal) > MAX_KEPT_BYTES
 
-    def _is_open(self, request_id: str) -> bool:
+    def _is_id_usable(self, request_id: str) -> bool:
         parsed_id = RequestId.from_text(request_id)
         if parsed_id is None or parsed_id.index is None:
             return False
@@ -198,7 +198,7 @@
             self._open.number,
         )
 
-    def _lose(self, refusal: Refusal) -> Refusal:
+    def _record_lost(self, refusal: Refusal) -> Refusal:
         self.counters.lost += 1
         counts = self._open.lost_by_reason
         counts[refusal.reason] = counts.get(refusal.reason, 0) + 1
@@ -269,8 +269,10 @@
         self._waiting.popleft()
 
     def _retry_ms(self, failures: int) -> float:
-        backoff_ms = RETRY_MS * 2 ** min(failures, MAX_DOUBLINGS)
-        max_delay_ms = float(min(RETRY_MAX_MS, backoff_ms))
+        backoff_ms = INITIAL_RETRY_DELAY_MS * 2 ** min(
+            failures, MAX_DELAY_DOUBLINGS
+        )
+        max_delay_ms = float(min(MAX_RETRY_DELAY_MS, backoff_ms))
         return max_delay_ms * (0.5 + self._random.random() / 2)
 
 
@@ -289,7 +291,7 @@
         )
     return (
         'no refusal of this team has the id, or it is not written yet '
-        f'(up to {MIN_INTERVAL_MS} ms, longer while the store is away), '
+        f'(up to {MIN_WRITE_INTERVAL_MS} ms, longer while the store is away), '
         'or its process was lost before it was written'
     )
 
--- a/bergamotthread/process/explanations/refusal_recorder.py
+++ b/bergamotthread/process/explanations/refusal_recorder.py
@@ -21,7 +21,7 @@
         self._explanations = explanations
         self._metrics = metrics
 
-    def stamp(self, refusal: Refusal) -> Refusal:
+    def record_refusal(self, refusal: Refusal) -> Refusal:
         """Record a refusal and return it with its request id."""
         without_id = msgspec.structs.replace(refusal, request_id='')
         recorded = self._explanations.record(without_id)
--- a/bergamotthread/process/explanations/trace_replay.py
+++ b/bergamotthread/process/explanations/trace_replay.py
@@ -98,15 +98,15 @@
     def _apply_to(self, live: LiveGeneration, record: Record) -> None:
         match record:
             case AttemptRecord():
-                _begin(live, record)
+                _start_attempt(live, record)
             case ConfirmedRecord(incarnation=incarnation):
                 live.generation.bind_incarnation(incarnation)
                 if record.dispatched:
                     live.admit()
             case FrameRecord():
-                _take(live, record)
+                _accept_frame(live, record)
             case OutcomeRecord():
-                _conclude(live, record)
+                _handle_outcome(live, record)
             case RevokedRecord(attempt=attempt, agent=agent):
                 live.unconfirmed.discard(AttemptPlace(attempt, agent))
             case RestoredRecord(tokens=tokens):
@@ -115,7 +115,7 @@
                 _end(live, record)
 
 
-def _begin(live: LiveGeneration, record: AttemptRecord) -> None:
+def _start_attempt(live: LiveGeneration, record: AttemptRecord) -> None:
     live.attempts += 1
     live.is_confirmed = False
     live.is_admitted = False
@@ -132,7 +132,7 @@
         )
 
 
-def _take(live: LiveGeneration, record: FrameRecord) -> None:
+def _accept_frame(live: LiveGeneration, record: FrameRecord) -> None:
     end = None
     if record.end_reason:
         end = EndMark(EndReason(record.end_reason), record.end_count)
@@ -148,7 +148,7 @@
         live.admit()
 
 
-def _conclude(live: LiveGeneration, record: OutcomeRecord) -> None:
+def _handle_outcome(live: LiveGeneration, record: OutcomeRecord) -> None:
     generation = live.generation
     if record.outcome == 'finished':
         return
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -114,7 +114,7 @@
         pending = live.expect_outcome(self._clock.now_ms())
         live.is_adopted = True
         place = generation.adopt_attempt(agent, attempt)
-        self._trace.attempt(live, adopted=True)
+        self._trace.record_attempt(live, adopted=True)
         self._peers.restart(agent)
         fetch = Fetch(generation.spec.generation, place.number, 0)
         self._transport.send(agent, fetch)
@@ -143,7 +143,7 @@
             return
         if len(live.fallback_tokens) == live.required_offset:
             generation.restore(live.fallback_tokens)
-            self._trace.restored(live)
+            self._trace.record_restored(live)
             return
         refusal = generation_refusal(
             live,
@@ -233,7 +233,7 @@
         agent = chosen.agent
         outcome = live.expect_outcome(now_ms)
         place = live.generation.begin_attempt(agent)
-        self._trace.attempt(live)
+        self._trace.record_attempt(live)
         self._peers.restart(agent)
         self._placement.record_dispatch(agent, chosen.request)
         dispatch = make_dispatch(live, place, now_ms, suspect=chosen.suspect)
@@ -246,7 +246,7 @@
     def _handle_outcome(self, live: LiveGeneration, outcome: Outcome) -> None:
         generation = live.generation
         place = generation.place
-        self._trace.outcome(live, outcome)
+        self._trace.record_outcome(live, outcome)
         match outcome:
             case Finished():
                 self._guards.attempt_ended(live, place.agent)
--- a/bergamotthread/process/generations/generations.py
+++ b/bergamotthread/process/generations/generations.py
@@ -158,13 +158,13 @@
                 live = self._find_current(generation, attempt, envelope)
                 if live is not None:
                     self._record_admission(live)
-                    self._trace.confirmed(live)
+                    self._trace.record_confirmed(live)
                     live.silence_detector.restart(self._clock.now_ms())
             case Waiting(generation=generation, attempt=attempt):
                 live = self._find_current(generation, attempt, envelope)
                 if live is not None:
                     live.is_confirmed = True
-                    self._trace.confirmed(live, dispatched=False)
+                    self._trace.record_confirmed(live, dispatched=False)
             case Declined() as declined:
                 self._on_declined(declined, envelope)
             case Missing(generation=generation, attempt=attempt):
@@ -198,7 +198,7 @@
         generation_id = live.generation.spec.generation
         self.by_id[generation_id] = live
         self._running_by_id[generation_id] = live
-        self._trace.admitted(live)
+        self._trace.record_admitted(live)
         live.task = asyncio.create_task(work)
         live.task.add_done_callback(partial(self._on_task_done, live))
 
@@ -216,7 +216,7 @@
             )
             live.generation.abort(internal_refusal(live, error))
             live.notify_readers()
-        self._trace.end(live)
+        self._trace.record_end(live)
 
     def _settle_replaced(self, peer: str, incarnation: int) -> None:
         for live in self.by_id.values():
@@ -229,7 +229,7 @@
         if live is not None and not revoked.dispatched:
             place = AttemptPlace(revoked.attempt, agent)
             live.unconfirmed.discard(place)
-            self._trace.revoked(live, revoked.attempt, agent)
+            self._trace.record_revoked(live, revoked.attempt, agent)
 
     def _find_current(
         self,
@@ -265,7 +265,7 @@
         frame: Frame,
         envelope: Envelope,
     ) -> None:
-        self._trace.frame(frame, envelope)
+        self._trace.record_frame(frame, envelope)
         verdict = live.generation.accept(
             frame,
             envelope.sender,
--- a/bergamotthread/process/store/store_client.py
+++ b/bergamotthread/process/store/store_client.py
@@ -85,7 +85,7 @@
         )
 
 
-def _not_asked(cause: str) -> StoreNotAskedError:
+def _not_asked_error(cause: str) -> StoreNotAskedError:
     return StoreNotAskedError(f'store not asked: {cause}', step=Step.STORE)
 
 
@@ -118,7 +118,7 @@
         StoreUnavailableError
             If it was sent and may have taken effect.
         """
-        return await self._pass(self.writes, use, access)
+        return await self._run_access(self.writes, use, access)
 
     async def read(self, use: StoreUse, access: _Access[_Answer]) -> _Answer:
         """Send a read and retry it within the retry budget.
@@ -131,7 +131,7 @@
         self.budget.earn()
         for attempt in range(1, _MAX_READS):
             try:
-                return await self._pass(self.reads, use, access)
+                return await self._run_access(self.reads, use, access)
             except StoreNotAskedError:
                 raise
             except StoreUnavailableError:
@@ -140,35 +140,39 @@
             await self.clock.sleep_ms(
                 self.rng.random() * _BACKOFF_MS * 2**attempt,
             )
-        return await self._pass(self.reads, use, access)
+        return await self._run_access(self.reads, use, access)
 
-    async def _pass(
+    async def _run_access(
         self,
-        share: RateLimiter,
+        rate_limiter: RateLimiter,
         use: StoreUse,
         access: _Access[_Answer],
     ) -> _Answer:
         if self._slots.locked():
-            raise _not_asked(f'{self.limits.concurrent} accesses under way')
+            raise _not_asked_error(
+                f'{self.limits.concurrent} accesses under way'
+            )
         started_ms = self.clock.now_ms()
         async with self._slots:
-            await self._admit(share, use)
+            await self._admit(rate_limiter, use)
             waited_ms = self.clock.now_ms() - started_ms
-            return await self._ask(access, self.limits.timeout_ms - waited_ms)
+            return await self._send(access, self.limits.timeout_ms - waited_ms)
 
-    async def _admit(self, share: RateLimiter, use: StoreUse) -> None:
+    async def _admit(self, rate_limiter: RateLimiter, use: StoreUse) -> None:
         if not self.circuit.is_ready:
-            raise _not_asked('circuit is open')
-        granted = await share.acquire(
+            raise _not_asked_error('circuit is open')
+        granted = await rate_limiter.acquire(
             preferred=use is not StoreUse.AUDIT,
             timeout_ms=self.limits.timeout_ms / 2,
         )
         if not granted:
-            raise _not_asked(f'rate share of {share.per_s}/s is used up')
+            raise _not_asked_error(
+                f'rate share of {rate_limiter.per_s}/s is used up'
+            )
         if not self.circuit.admit():
-            raise _not_asked('circuit is open')
+            raise _not_asked_error('circuit is open')
 
-    async def _ask(self, access: _Access[_Answer], limit_ms: float) -> _Answer:
+    async def _send(self, access: _Access[_Answer], limit_ms: float) -> _Answer:
         try:
             async with asyncio.timeout(limit_ms / _MS_PER_S):
                 answer = await access()
--- a/bergamotthread/testing/memory_http.py
+++ b/bergamotthread/testing/memory_http.py
@@ -29,7 +29,7 @@
         self.address = ''
         self.peer: MemoryTransport | None = None
         self.unread: deque[bytes | None] = deque()
-        self.on_the_way: deque[bytes | None] = deque()
+        self.in_transit: deque[bytes | None] = deque()
         self._net = net
         self._is_closing = False
         self._is_reading = True
@@ -182,7 +182,7 @@
             return
         # Timers that expire at the same time fire in any order; the queue keeps
         # the bytes in order.
-        sender.on_the_way.append(payload)
+        sender.in_transit.append(payload)
         self.loop.call_later(
             self.delay_ms / _MS_PER_S,
             self._arrive,
@@ -190,7 +190,7 @@
         )
 
     def _arrive(self, sender: MemoryTransport) -> None:
-        payload = sender.on_the_way.popleft()
+        payload = sender.in_transit.popleft()
         if sender.peer is not None and sender.address not in self.silent:
             sender.peer.arrive(payload)
 
--- a/bergamotthread/testing/memory_service.py
+++ b/bergamotthread/testing/memory_service.py
@@ -13,7 +13,10 @@
     ServiceUnreachableError,
 )
 from bergamotthread.errors import Step
-from bergamotthread.wire.messages import FENCE_HEADER, KEY_HEADER
+from bergamotthread.wire.messages import (
+    FENCING_TOKEN_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+)
 
 _OK = 200
 _CONFLICT = 409
@@ -61,8 +64,8 @@
         if self.is_down:
             raise ServiceUnreachableError('service is down', step=Step.DISPATCH)
         headers = dict(request.headers)
-        key = headers.get(KEY_HEADER, '')
-        fence = int(headers.get(FENCE_HEADER, '0'))
+        key = headers.get(IDEMPOTENCY_KEY_HEADER, '')
+        fence = int(headers.get(FENCING_TOKEN_HEADER, '0'))
         if self.checks_fencing and fence < self.fence_by_key.get(key, 0):
             return ServiceAnswer(_CONFLICT, (), b'old fencing token')
         self.fence_by_key[key] = fence
--- a/bergamotthread/wire/messages.py
+++ b/bergamotthread/wire/messages.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-KEY_HEADER = 'Idempotency-Key'
-FENCE_HEADER = 'Fencing-Token'
+IDEMPOTENCY_KEY_HEADER = 'Idempotency-Key'
+FENCING_TOKEN_HEADER = 'Fencing-Token'
 
 
 class _Message(
--- a/standins/service.py
+++ b/standins/service.py
@@ -17,7 +17,10 @@
 from starlette.types import Receive, Scope, Send
 
 from bergamotthread.clock import Clock
-from bergamotthread.wire.messages import FENCE_HEADER, KEY_HEADER
+from bergamotthread.wire.messages import (
+    FENCING_TOKEN_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+)
 from standins.serving import serve
 
 _CONFLICT = 409
@@ -118,8 +121,8 @@
         await request.body()
         if service.strikes('deaths_before'):
             os._exit(_EXIT_STATUS)
-        key = request.headers.get(KEY_HEADER, '')
-        fence = int(request.headers.get(FENCE_HEADER, '0'))
+        key = request.headers.get(IDEMPOTENCY_KEY_HEADER, '')
+        fence = int(request.headers.get(FENCING_TOKEN_HEADER, '0'))
         if not await service.run(key, fence):
             return _json({'error': 'old fencing token'}, _CONFLICT)
         if service.strikes('deaths_after'):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -216,7 +216,7 @@
         await trail.flush()
         records = await _read(platform)
         assert (
-            len([record for record in records if wanted.selects(record)])
+            len([record for record in records if wanted.matches(record)])
             == count
         )
 
--- a/tests/test_entry_app.py
+++ b/tests/test_entry_app.py
@@ -121,7 +121,7 @@
             generations,
             CursorSigner((b'test key',)),
             clock,
-            recorder.stamp,
+            recorder.record_refusal,
         ),
         versions=versions,
         calls=None,
@@ -134,7 +134,7 @@
     limited = BodyLimit(
         app.starlette(),
         LimitSettings(body_bytes=10_000),
-        recorder.stamp,
+        recorder.record_refusal,
     )
     entry = server(limited, '127.0.0.1:0')
     await entry.start()
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -168,7 +168,10 @@
         other = harness.process('other')
         for request_id in ids[::400]:
             assert await other.find(request_id, 'foundry')
-        assert (harness.writer.counters.lost, harness.writer.kept) == (0, 0)
+        assert (harness.writer.counters.lost, harness.writer.kept_count) == (
+            0,
+            0,
+        )
         assert harness.platform.writes < 300
 
     _run(main)
@@ -209,7 +212,7 @@
         harness.refuse()
         with pytest.raises(StoreUnavailableError):
             await harness.writer.flush()
-        assert harness.writer.kept == 1
+        assert harness.writer.kept_count == 1
 
     _run(main)
 
