--- a/bergamotthread/process/explanations/explanations.py
+++ b/bergamotthread/process/explanations/explanations.py
@@ -1,9 +1,10 @@
 """Records refusals so that they can be explained later.
 
-Refusals are written in batches, at most one object per `MIN_INTERVAL_MS`. A
-request id contains the writer and the batch, so that any process finds the
-refusal with one read. While the store is unavailable, a limited number of
-refusals is kept, the oldest ones, and the others are counted as lost.
+Refusals are written in batches, at most one object per
+`MIN_WRITE_INTERVAL_MS`. A request id contains the writer and the batch, so that
+any process finds the refusal with one read. While the store is unavailable, a
+limited number of refusals is kept, the oldest ones, and the others are counted
+as lost.
 """
 
 from __future__ import annotations
