--- a/bergamotthread/process/relay/choice.py
+++ b/bergamotthread/process/relay/choice.py
@@ -32,8 +32,8 @@
 FAILURE_COST_MS = 4000.0
 # Upstreams that are asked for their load before one is chosen.
 SAMPLED_CANDIDATES = 4
-# Candidates from this region: traffic between regions is paid, and a loss in
-# this region is noticed a round trip sooner.
+# Candidates taken from this region if it has enough upstreams: traffic between
+# regions is paid, and a loss in this region is noticed a round trip sooner.
 OWN_REGION_CANDIDATES = 3
 # With fewer upstreams in the region, the choice among queues is too small and
 # all regions are treated alike.
@@ -95,7 +95,7 @@
     rng: random.Random = field(default_factory=random.Random)
 
     def choose(self, request: RelayPlacementRequest) -> Upstream | None:
-        """Return the cheapest upstream of all, or None if there is none."""
+        """Return the cheapest eligible upstream, or None if there is none."""
         eligible = [
             upstream
             for upstream in self.directory.of_service(request.service)
@@ -134,10 +134,11 @@
     def draw_candidates(self, request: RelayPlacementRequest) -> list[Upstream]:
         """Return a few candidates, from two failure domains if possible.
 
-        Upstreams of this region come first, then those that the affinity
-        prefers. Suspected upstreams are candidates only if there are no
-        others. For a caller that reconnects, every entry of every region
-        draws the same candidates.
+        With at least `OWN_REGION_UPSTREAMS_MIN` upstreams in this region, its
+        upstreams come first, then those that the affinity prefers. Suspected
+        upstreams are candidates only if there are no others. For a caller that
+        reconnects, entries of all regions draw the same candidates as long as
+        they agree on which upstreams are lost or suspected.
         """
         considered = list(
             islice(self._eligible_in_order(request), CONSIDERED_UPSTREAMS_MAX)
@@ -266,15 +267,16 @@
     upstream: Upstream, request: RelayPlacementRequest
 ) -> float:
     report = upstream.report
-    unread = upstream.prefill_tokens
+    unread_tokens = upstream.prefill_tokens
     running = upstream.in_flight
     if report is not None:
         reported = report.unread_tokens + upstream.sent_since_report
-        unread = max(unread, reported)
+        unread_tokens = max(unread_tokens, reported)
         running = max(running, report.running)
-    waiting = unread + request.prompt_tokens
+    waiting_prefill_tokens = unread_tokens + request.prompt_tokens
     cost_ms = (
-        waiting / PREFILL_TOKENS_PER_MS + running * RUNNING_REQUEST_COST_MS
+        waiting_prefill_tokens / PREFILL_TOKENS_PER_MS
+        + running * RUNNING_REQUEST_COST_MS
     )
     return cost_ms + _kv_fraction(upstream) ** 2 * KV_FULL_COST_MS
 
--- a/bergamotthread/process/relay/decision_log.py
+++ b/bergamotthread/process/relay/decision_log.py
@@ -66,15 +66,15 @@
     def flush(self) -> None:
         """Write as much as the reader accepts without blocking."""
         self._flush = None
-        waiting = self._unwritten or self._take_lines()
+        unwritten = self._unwritten or self._take_lines()
         try:
-            written = os.write(self.descriptor, waiting)
+            written = os.write(self.descriptor, unwritten)
         except BlockingIOError:
             written = 0
         except OSError:
             # The reader closed the pipe, so the error can't be reported.
-            written = len(waiting)
-        self._unwritten = waiting[written:]
+            written = len(unwritten)
+        self._unwritten = unwritten[written:]
         if self._unwritten or self._lines:
             self._flush_soon()
 
--- a/bergamotthread/process/relay/feed_sources.py
+++ b/bergamotthread/process/relay/feed_sources.py
@@ -82,7 +82,10 @@
             self._failed_ms_by_host[source.host] = now_ms
 
     def record_success(self, table: str, source: EntryRecord | None) -> None:
-        """Record that a source responded."""
+        """End the store's backoff after it responded.
+
+        A response of another entry does not end that entry's backoff.
+        """
         if source is None:
             self._store_failed_ms_by_table.pop(table, None)
 
--- a/bergamotthread/process/relay/freshness.py
+++ b/bergamotthread/process/relay/freshness.py
@@ -11,11 +11,11 @@
 
 from bergamotthread.clock import Clock
 
-# Part of the bound that is reserved for the time from the check of a key to the
-# arrival of the request at the upstream.
+# Part of `revoke_bound_ms` that is reserved for the time from the check of a
+# key to the arrival of the request at the upstream.
 DISPATCH_MARGIN_MS = 300
-# Fraction of the bound after which the entry reports to the balancer that it is
-# not ready.
+# Fraction of `revoke_bound_ms` after which the entry reports to the balancer
+# that it is not ready.
 READY_AGE_FRACTION = 0.7
 
 
@@ -35,7 +35,10 @@
     _confirmed_ms: float = -math.inf
 
     def now_ms(self) -> float:
-        """Return the time to pass to `confirm` for a request sent now."""
+        """Return the time to pass to `confirm` for a request sent now.
+
+        This is the clock's `boot_ms`, not its `now_ms`.
+        """
         return self.clock.boot_ms()
 
     def confirm(self, asked_ms: float) -> None:
@@ -49,7 +52,7 @@
 
     @property
     def may_accept_keys(self) -> bool:
-        """Return whether keys are known not to have been removed."""
+        """Return whether keys were confirmed recently enough to be accepted."""
         if self.revoke_bound_ms is None:
             return True
         return self.age_ms < self.revoke_bound_ms - DISPATCH_MARGIN_MS
--- a/bergamotthread/process/relay/life_cycle.py
+++ b/bergamotthread/process/relay/life_cycle.py
@@ -1,4 +1,4 @@
-"""Life cycle of an entry: starting, ready, draining, stopped."""
+"""Life cycle of an entry: starting, ready, draining."""
 
 from __future__ import annotations
 
@@ -83,7 +83,10 @@
 
     @property
     def refuses_streams(self) -> bool:
-        """Return whether a new stream would not end before the kill."""
+        """Return whether new streams are refused.
+
+        They would not end before the kill.
+        """
         return self.draining_ms > NEW_STREAM_GRACE_MS
 
     @property
--- a/bergamotthread/process/relay/liveness.py
+++ b/bergamotthread/process/relay/liveness.py
@@ -1,4 +1,4 @@
-"""Detection of lost upstreams by probes, which tell them from slow ones.
+"""Probes that distinguish lost upstreams from slow ones.
 
 A silent upstream is asked for its load report. Requests that wait for the same
 upstream share one probe.
@@ -18,10 +18,11 @@
 )
 
 # Silence within a stream after which its upstream is probed. It is several
-# times the usual gap between events (40 ms), and short enough for the stream to
-# resume elsewhere within the longest allowed pause (700 ms).
+# times the usual pause between events (40 ms), and short enough for the stream
+# to resume elsewhere within the longest allowed pause (700 ms).
 STREAM_SILENCE_MS = 120
-# The same during prefill, where a later detection does no harm.
+# The same during prefill, where the target for the first event leaves more time
+# than the allowed pause.
 PREFILL_SILENCE_MS = 200
 # Opening a connection and one round trip between regions take 120 ms.
 PROBE_TIMEOUT_MS = 190
--- a/bergamotthread/process/relay/upstreams.py
+++ b/bergamotthread/process/relay/upstreams.py
@@ -15,7 +15,8 @@
 # 1.2 s, so by then only live upstreams are listed.
 LOST_RETRY_MS = 4000
 # With this many losses in one failure domain within `DOMAIN_LOSS_WINDOW_MS`,
-# the other upstreams of the domain are suspected until they send something.
+# the other upstreams of the domain are suspected until they send something or
+# the losses are older than that.
 DOMAIN_LOSSES_MIN = 2
 DOMAIN_LOSS_WINDOW_MS = 1500
 # Weight of the newest outcome in the average of failures.
@@ -85,12 +86,15 @@
     sent_since_report
         Prompt tokens of attempts that this process sent since the report.
     held_tokens
-        Tokens of this process's streams whose copies the upstream holds.
+        Prompt tokens of this process's streams whose copies the upstream holds.
     is_unlisted
         Whether its row disappeared in an outage of the store and may return.
     listed_ms, heard_ms, lost_ms
         Monotonic times at which it was first listed, last sent bytes and was
-        marked lost; 0 if it was not.
+        marked lost; 0 before. `lost_ms` is reset when it sends something.
+    failure_share, failed_ms
+        Average of failures after the last outcome, and the monotonic time of
+        that outcome, whether it was a failure or a success.
     """
 
     record: UpstreamRecord
@@ -160,7 +164,7 @@
         return upstream
 
     def record_unlisted(self, instance: str) -> None:
-        """Suspect an upstream whose row disappeared in an outage."""
+        """Suspect an upstream that became unlisted in an outage."""
         upstream = self._upstream_by_instance.get(instance)
         if upstream is not None:
             upstream.is_unlisted = True
@@ -187,7 +191,10 @@
                 yield upstream
 
     def record_lost(self, upstream: Upstream) -> None:
-        """Mark an upstream lost until it sends something or time passes."""
+        """Mark an upstream lost.
+
+        It is lost until it sends something or `LOST_RETRY_MS` passes.
+        """
         now_ms = self.clock.now_ms()
         domain = upstream.record.failure_domain
         losses = self._losses_by_domain.setdefault(domain, deque())
@@ -226,8 +233,9 @@
     def is_suspected(self, upstream: Upstream) -> bool:
         """Return whether an upstream may have ended or be lost.
 
-        It is suspected while its row is missing, or from several losses in its
-        failure domain until it sends something.
+        It is suspected while it is unlisted, or after several losses in its
+        failure domain until it sends something or the losses are older than
+        `DOMAIN_LOSS_WINDOW_MS`.
         """
         if upstream.is_unlisted:
             return True
--- a/bergamotthread/request/relay/admission.py
+++ b/bergamotthread/request/relay/admission.py
@@ -106,10 +106,10 @@
         request = exchange.request
         service_name = _draw_service(route.services, self.rng)
         service = table.service_by_name.get(service_name)
-        requested_ms = _parse_number(
+        requested_timeout_ms = _parse_number(
             request.header(self.header_names.remaining_ms)
         )
-        timeout_ms = requested_ms or DEFAULT_TIMEOUT_MS
+        timeout_ms = requested_timeout_ms or DEFAULT_TIMEOUT_MS
         return RelayedCall(
             exchange=exchange,
             route=route,
@@ -124,6 +124,10 @@
         )
 
     def _affinity(self, request: CallerRequest) -> bytes:
+        """Return the identifier of the last prompt part.
+
+        That part belongs to the request or its session alone.
+        """
         prompt_parts = request.header(self.header_names.prompt_parts) or b''
         return prompt_parts.rpartition(b',')[2].partition(b':')[0].strip()
 
--- a/bergamotthread/request/relay/attempt.py
+++ b/bergamotthread/request/relay/attempt.py
@@ -138,7 +138,7 @@
 
 
 async def read_response(attempt: Attempt, timeout_ms: float) -> AttemptOutcome:
-    """Return the complete response, or why there is none within the time."""
+    """Return the response, or the outcome if incomplete after `timeout_ms`."""
     response = _BufferedResponse(attempt)
     end_ms = attempt.parts.clock.now_ms() + timeout_ms
     outcome: AttemptOutcome | None = None
--- a/bergamotthread/request/relay/attempt_loop.py
+++ b/bergamotthread/request/relay/attempt_loop.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    sent
+    attempts_sent
         Number of attempts whose request was sent.
     """
 
@@ -68,19 +68,24 @@
     limits: AttemptLimits,
     steps: AttemptSteps[_Place],
 ) -> bool:
-    """Run attempts until one settles the call; return whether one did.
+    """Run attempts until no further attempt is needed or allowed.
 
     A retry is counted in the budget only once there is an upstream for it.
+
+    Returns
+    -------
+    bool
+        Whether an attempt settled the call.
     """
     limits.parts.retry_budget.record_first_attempt(limits.call.service.name)
     while limits.remaining_ms > 0 and steps.may_send():
-        place = await steps.place()
-        if place is None:
+        placement = await steps.place()
+        if placement is None:
             if not steps.may_wait():
                 return False
             await limits.parts.clock.sleep_ms(PLACEMENT_RETRY_MS)
         elif not limits.spend_attempt():
             return False
-        elif await steps.run_attempt(place):
+        elif await steps.run_attempt(placement):
             return True
     return False
--- a/bergamotthread/request/relay/call.py
+++ b/bergamotthread/request/relay/call.py
@@ -29,7 +29,7 @@
     Parameters
     ----------
     team
-        Team of the caller's key; empty if the route needs no key.
+        Team of the caller's key; empty if the request has no known key.
     deadline_ms
         Monotonic time by which the caller must have the complete response.
     resume_after
--- a/bergamotthread/request/relay/copies.py
+++ b/bergamotthread/request/relay/copies.py
@@ -122,7 +122,7 @@
     async def release(self) -> None:
         """Free a copy that the entry had made and that is no longer needed.
 
-        The memory of a copy is paid for by time.
+        Memory held by a copy is charged by duration.
         """
         copy = self._copy
         self.discard()
--- a/bergamotthread/request/relay/dialect.py
+++ b/bergamotthread/request/relay/dialect.py
@@ -1,4 +1,4 @@
-"""Names of the header fields that entries exchange with their peers."""
+"""Names of header fields that entries exchange with callers and upstreams."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
     copy_target
         Address of the upstream to which the run's KV cache is copied.
     copy_source
-        Copy from which a run resumes, as ``ADDRESS/NAME``.
+        Copy from which a run resumes, as ``ADDRESS/NAME``. If the upstream
+        sends the copy during the run, these are the holder's address and the
+        request's identifier; if the entry had the copy made, the address of the
+        upstream that ran the request and that upstream's name for the copy.
     set_by_entry
         Fields that only the entry sets; they are removed from callers'
         requests.
--- a/bergamotthread/request/relay/engine_memory.py
+++ b/bergamotthread/request/relay/engine_memory.py
@@ -23,7 +23,8 @@
         -------
         str
             Identifier by which the target finds the copy when it resumes the
-            run; empty if no copy was made.
+            run, as ``ADDRESS/NAME`` with the address of the source; empty if
+            no copy was made.
         """
 
     @abstractmethod
--- a/bergamotthread/request/relay/outcomes.py
+++ b/bergamotthread/request/relay/outcomes.py
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The upstream sent a complete response."""
+    """The upstream sent a complete response.
+
+    For a stream, only the head of a response that is not a stream, or that
+    lacks its signature; the body is empty.
+    """
 
     head: AnswerHead
     body: bytes
--- a/bergamotthread/request/relay/pace.py
+++ b/bergamotthread/request/relay/pace.py
@@ -16,7 +16,7 @@
     count
         Number of parts or events that arrived.
     first_ms, longest_gap_ms
-        Time to the first event and the longest gap between two events.
+        Time to the first event and the longest pause between two events.
     span_ms
         Time from the first event to the last.
     """
@@ -34,7 +34,7 @@
         if self.count == 1:
             self.first_ms = now_ms - self.started_ms
         else:
-            gap_ms = now_ms - self._last_ms
-            self.span_ms += gap_ms
-            self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
+            pause_ms = now_ms - self._last_ms
+            self.span_ms += pause_ms
+            self.longest_gap_ms = max(self.longest_gap_ms, pause_ms)
         self._last_ms = now_ms
--- a/bergamotthread/request/relay/placement.py
+++ b/bergamotthread/request/relay/placement.py
@@ -78,17 +78,19 @@
 
         Returns
         -------
-        Placement or None
+        AttemptPlacement or None
             None if no upstream is available now.
         """
         candidates = self.parts.choice.draw_candidates(request)
         if not candidates:
             return None
-        cached = await self._caching_candidates(candidates, request)
-        alive = cached or await self._alive_candidates(candidates)
-        if not alive:
+        caching = await self._caching_candidates(candidates, request)
+        usable = caching or await self._alive_candidates(candidates)
+        if not usable:
+            # No candidate answered its probe, so all are marked lost now. If
+            # the attempt fails as well, the next one is placed at others.
             return AttemptPlacement(candidates[0])
-        return self._cheapest(alive, request)
+        return self._cheapest(usable, request)
 
     async def _caching_candidates(
         self,
@@ -102,7 +104,7 @@
         """
         if not request.is_reconnect or not request.affinity:
             return []
-        cached = await asyncio.gather(
+        cached_tokens = await asyncio.gather(
             *(
                 self.parts.kv_cache.cached_tokens(upstream, request.affinity)
                 for upstream in candidates
@@ -111,19 +113,19 @@
         self.parts.log.write(
             'cache-found',
             request=self.call.request_label,
-            tokens=max(cached),
+            tokens=max(cached_tokens),
             candidates=len(candidates),
         )
         return [
             upstream
-            for upstream, tokens in zip(candidates, cached, strict=True)
+            for upstream, tokens in zip(candidates, cached_tokens, strict=True)
             if tokens
         ]
 
     async def _alive_candidates(
         self, candidates: list[Upstream]
     ) -> list[Upstream]:
-        answers = await asyncio.gather(
+        are_alive = await asyncio.gather(
             *(
                 self.parts.liveness.refresh_report(upstream)
                 for upstream in candidates
@@ -131,7 +133,7 @@
         )
         return [
             upstream
-            for upstream, is_alive in zip(candidates, answers, strict=True)
+            for upstream, is_alive in zip(candidates, are_alive, strict=True)
             if is_alive
         ]
 
@@ -150,12 +152,12 @@
         )
         chosen = ranked[0]
         domain = chosen.record.failure_domain
-        elsewhere = [
+        other_domains = [
             upstream
             for upstream in ranked
             if upstream.record.failure_domain != domain
         ]
-        copy_target = choice.copy_holder_among(elsewhere or ranked[1:])
+        copy_target = choice.copy_holder_among(other_domains or ranked[1:])
         if not self.may_copy:
             copy_target = None
         self.parts.log.write(
--- a/bergamotthread/request/relay/plain_relay.py
+++ b/bergamotthread/request/relay/plain_relay.py
@@ -22,8 +22,9 @@
 from bergamotthread.request.relay.parts import RelayParts
 from bergamotthread.request.relay.refusals import RelayRefusal, send_refusal
 
-# Fraction of the target response time after which a request that may be retried
-# is sent to another upstream.
+# Fraction of the target response time of a request that may be retried, after
+# which the first attempt is abandoned and the request is sent to another
+# upstream.
 FIRST_ATTEMPT_TARGET_FRACTION = 0.6
 # Time beyond the deadline for the upstream's own response that it has passed.
 DEADLINE_MARGIN_MS = 30
@@ -65,6 +66,7 @@
         )
         upstream = self._parts.choice.choose(request)
         if upstream is None and self._excluded:
+            # The next placement may choose an upstream that was tried before.
             self._excluded = frozenset()
         return upstream
 
@@ -73,7 +75,7 @@
         return self._parts.clock.now_ms() <= self._placement_deadline_ms
 
     async def run_attempt(self, place: Upstream) -> bool:
-        """Run an attempt; return whether the caller has its response."""
+        """Run an attempt; return whether no further attempt is needed."""
         outcome = await self._attempt(place)
         self._log_outcome(place, outcome)
         return self._handle_outcome(place, outcome)
@@ -102,7 +104,7 @@
     def _handle_outcome(
         self, upstream: Upstream, outcome: AttemptOutcome
     ) -> bool:
-        """Handle an outcome; return whether the caller has its response."""
+        """Handle an outcome; return whether no further attempt is needed."""
         failed = not isinstance(outcome, Answered)
         self._parts.directory.record_outcome(upstream, failed=failed)
         self._excluded |= {upstream.record.instance}
--- a/bergamotthread/request/relay/stream_relay.py
+++ b/bergamotthread/request/relay/stream_relay.py
@@ -101,7 +101,8 @@
     def may_send(self) -> bool:
         """Return whether the route allows another attempt.
 
-        After a request that may have run, it must allow retries as well.
+        A request that may have run is sent again only if the route allows
+        retries.
         """
         may_retry = self._call.route.repeatability.may_repeat
         if self._may_have_run and not may_retry:
@@ -274,6 +275,8 @@
         """Handle an outcome; return whether no further attempt is needed."""
         failed = not isinstance(outcome, StreamEnded)
         upstream = placement.upstream
+        # A full copy holder refuses to resume a run. That is no failure, and it
+        # may still run the request without the copy.
         if placement.copy is None or not isinstance(outcome, NotRun):
             self._parts.directory.record_outcome(upstream, failed=failed)
             self._excluded |= {upstream.record.instance}
