--- a/bergamotthread/platform/entry.py
+++ b/bergamotthread/platform/entry.py
@@ -230,7 +230,7 @@
             (
                 'upstream_probes',
                 'Load reports that were asked for.',
-                lambda: self._parts.liveness.probes,
+                lambda: self._parts.liveness.probes_sent,
             ),
             (
                 'log_lines_waiting_dropped',
--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -56,27 +56,27 @@
     _changes: deque[StoredRow] = field(default_factory=deque)
     _updated: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def restart(self, version: int, asked_ms: float) -> None:
+    def restart(self, version: int, requested_ms: float) -> None:
         """Drop all changes after the whole table was read at a version.
 
         Parameters
         ----------
-        asked_ms
+        requested_ms
             Boot clock time at which the read was requested.
         """
         self._changes.clear()
         self.kept_after_version = version
         self.is_direct = True
-        self._confirm(version, asked_ms)
+        self._confirm(version, requested_ms)
 
     def add(
         self,
         rows: Iterable[StoredRow],
         version: int,
-        asked_ms: float,
+        requested_ms: float,
         is_direct: bool,
     ) -> None:
-        """Append changes; all writes up to `asked_ms` are then known.
+        """Append changes; all writes up to `requested_ms` are then known.
 
         Parameters
         ----------
@@ -88,7 +88,7 @@
             if len(self._changes) >= KEPT_CHANGES_MAX:
                 self.kept_after_version = self._changes.popleft().version
             self._changes.append(row)
-        self._confirm(version, asked_ms)
+        self._confirm(version, requested_ms)
 
     async def changes_after(
         self,
@@ -120,9 +120,9 @@
             is_direct=self.is_direct,
         )
 
-    def _confirm(self, version: int, asked_ms: float) -> None:
+    def _confirm(self, version: int, requested_ms: float) -> None:
         self.version = max(version, self.version)
-        self.confirmed_ms = max(asked_ms, self.confirmed_ms)
+        self.confirmed_ms = max(requested_ms, self.confirmed_ms)
         event = self._updated
         self._updated = asyncio.Event()
         event.set()
--- a/bergamotthread/platform/runner_calls.py
+++ b/bergamotthread/platform/runner_calls.py
@@ -98,9 +98,9 @@
             return ''
         return f'{source.address}/{copied.name}'
 
-    async def drop(self, source: Upstream, name: str) -> None:
+    async def drop(self, source: Upstream, copy_id: str) -> None:
         """Free a copy made by `copy`, at the source and at the target."""
-        target = f'/api/kv-handle/{name.rpartition("/")[2]}'.encode()
+        target = f'/api/kv-handle/{copy_id.rpartition("/")[2]}'.encode()
         try:
             await fetch(
                 self.pool,
@@ -112,7 +112,7 @@
             # The target frees the copy itself, some time after its last part
             # arrived.
             logging.debug(
-                'release of KV cache copy %s not confirmed: %s', name, error
+                'release of KV cache copy %s not confirmed: %s', copy_id, error
             )
 
     async def cached_tokens(self, upstream: Upstream, part: bytes) -> int:
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -125,12 +125,12 @@
         """Apply changed rows in order."""
 
     @abstractmethod
-    def record_confirmed(self, asked_ms: float) -> None:
-        """Note that all writes before `asked_ms` are known.
+    def record_confirmed(self, requested_ms: float) -> None:
+        """Note that all writes before `requested_ms` are known.
 
         Parameters
         ----------
-        asked_ms
+        requested_ms
             Boot clock time at which the rows were requested.
         """
 
@@ -176,19 +176,19 @@
         return True
 
     async def _read_all(self) -> None:
-        asked_ms = self._clock.boot_ms()
+        requested_ms = self._clock.boot_ms()
         read = await self._store.read_rows(self.table)
         self.apply_all(read.rows)
         self._version = read.version
-        self.history.restart(read.version, asked_ms)
-        self.record_confirmed(asked_ms)
+        self.history.restart(read.version, requested_ms)
+        self.record_confirmed(requested_ms)
 
     async def _read_changes(
         self,
         after: int,
         source: EntryRecord | None,
     ) -> None:
-        asked_ms = self._clock.boot_ms()
+        requested_ms = self._clock.boot_ms()
         if source is None:
             wait_ms = 0 if self._is_store_failing else self.wait_ms
             read = await self._store.read_changes(self.table, after, wait_ms)
@@ -200,12 +200,12 @@
                 self.wait_ms + FOLLOWER_EXTRA_WAIT_MS,
                 self.age_max_ms,
             )
-            asked_ms = self._clock.boot_ms() - read.age_ms
+            requested_ms = self._clock.boot_ms() - read.age_ms
         self.apply_changes(read.rows)
         self._version = read.version
         is_direct = source is None
-        self.history.add(read.rows, read.version, asked_ms, is_direct)
-        self.record_confirmed(asked_ms)
+        self.history.add(read.rows, read.version, requested_ms, is_direct)
+        self.record_confirmed(requested_ms)
 
     def _log_store_failure(self, error: StoreCallError) -> None:
         self.record_store_failure()
@@ -253,10 +253,10 @@
             if row.key == MANIFEST_KEY and row.payload is not None:
                 self._apply_manifest(row.payload)
 
-    def record_confirmed(self, asked_ms: float) -> None:
-        """Note that the version in force was current at `asked_ms`."""
+    def record_confirmed(self, requested_ms: float) -> None:
+        """Note that the version in force was current at `requested_ms`."""
         if self._holder.table is not None:
-            self._freshness.confirm(asked_ms)
+            self._freshness.confirm(requested_ms)
 
     def record_store_failure(self) -> None:
         """Keep the version in force; the age of its confirmation grows."""
@@ -321,7 +321,7 @@
             else:
                 self._update_upstream(row.key, row.payload)
 
-    def record_confirmed(self, asked_ms: float) -> None:
+    def record_confirmed(self, requested_ms: float) -> None:
         """Do nothing; rows that do not return are dropped after a time."""
 
     def record_store_failure(self) -> None:
@@ -426,7 +426,7 @@
         for row in rows:
             self._apply_row(row)
 
-    def record_confirmed(self, asked_ms: float) -> None:
+    def record_confirmed(self, requested_ms: float) -> None:
         """Do nothing; calls to an entry that has gone fail."""
 
     def record_store_failure(self) -> None:
--- a/bergamotthread/process/relay/choice.py
+++ b/bergamotthread/process/relay/choice.py
@@ -191,7 +191,9 @@
             cost_ms = _engine_cost_ms(upstream, request)
         else:
             cost_ms = upstream.in_flight * PLAIN_REQUEST_COST_MS
-        cost_ms += self.directory.failure_share(upstream) * FAILURE_COST_MS
+        cost_ms += (
+            self.directory.decayed_failure_share(upstream) * FAILURE_COST_MS
+        )
         return cost_ms + self._region_cost_ms(upstream) + self.rng.random()
 
     def _copy_holder_cost_ms(self, upstream: Upstream) -> float:
--- a/bergamotthread/process/relay/freshness.py
+++ b/bergamotthread/process/relay/freshness.py
@@ -41,9 +41,9 @@
         """
         return self.clock.boot_ms()
 
-    def confirm(self, asked_ms: float) -> None:
-        """Record a confirmation that was requested at `asked_ms`."""
-        self._confirmed_ms = max(self._confirmed_ms, asked_ms)
+    def confirm(self, requested_ms: float) -> None:
+        """Record a confirmation that was requested at `requested_ms`."""
+        self._confirmed_ms = max(self._confirmed_ms, requested_ms)
 
     @property
     def age_ms(self) -> float:
--- a/bergamotthread/process/relay/liveness.py
+++ b/bergamotthread/process/relay/liveness.py
@@ -41,14 +41,14 @@
     ----------
     probe
         Fetches the load report of an upstream; returns None on failure.
-    probes
+    probes_sent
         Number of probes sent.
     """
 
     clock: Clock
     directory: UpstreamDirectory
     probe: Probe
-    probes: int = 0
+    probes_sent: int = 0
     _probe_by_instance: dict[str, asyncio.Task[bool]] = field(
         default_factory=dict
     )
@@ -105,7 +105,7 @@
         task.add_done_callback(self._background_checks.discard)
 
     async def _probe(self, upstream: Upstream) -> bool:
-        self.probes += 1
+        self.probes_sent += 1
         started_ms = self.clock.now_ms()
         report = None
         try:
--- a/bergamotthread/process/relay/upstreams.py
+++ b/bergamotthread/process/relay/upstreams.py
@@ -211,12 +211,12 @@
 
     def record_outcome(self, upstream: Upstream, *, failed: bool) -> None:
         """Add an outcome to the average of failures."""
-        share = self.failure_share(upstream)
+        share = self.decayed_failure_share(upstream)
         share += _OUTCOME_WEIGHT * (float(failed) - share)
         upstream.failure_share = share
         upstream.failed_ms = self.clock.now_ms()
 
-    def failure_share(self, upstream: Upstream) -> float:
+    def decayed_failure_share(self, upstream: Upstream) -> float:
         """Return the average of recent failures, which decays with time."""
         if not upstream.failure_share:
             return 0
--- a/bergamotthread/request/relay/admission.py
+++ b/bergamotthread/request/relay/admission.py
@@ -119,7 +119,7 @@
             deadline_ms=request.received_ms + min(timeout_ms, route.timeout_ms),
             version=table.version,
             prompt_tokens=self._prompt_tokens(request, route),
-            resume_after=_event_id(request),
+            resume_after=_last_event_id(request),
             affinity=self._affinity(request),
         )
 
@@ -159,7 +159,7 @@
     return rng.choices(services, weights)[0].service
 
 
-def _event_id(request: CallerRequest) -> int | None:
+def _last_event_id(request: CallerRequest) -> int | None:
     event_id = _parse_number(request.header(RESUME_AFTER))
     return None if event_id is None else int(event_id)
 
--- a/bergamotthread/request/relay/attempt.py
+++ b/bergamotthread/request/relay/attempt.py
@@ -91,7 +91,7 @@
 
     async def send(self, headers: AttemptHeaders) -> NotSent | None:
         """Send the request; return the outcome if it could not be sent."""
-        may_retry = self.call.route.repeatability.may_repeat
+        may_retry = self.call.route.repeatability.may_retry
         idle_max_ms = IDLE_MAX_MS if may_retry else NON_RETRYABLE_IDLE_MAX_MS
         encoded = encode_attempt(self.call, headers, self.parts.header_names)
         try:
--- a/bergamotthread/request/relay/attempt_loop.py
+++ b/bergamotthread/request/relay/attempt_loop.py
@@ -11,7 +11,7 @@
 # Pause before placement is tried again where no upstream was available.
 PLACEMENT_RETRY_MS = 100
 
-_Place = TypeVar('_Place')
+_Placement = TypeVar('_Placement')
 
 
 @dataclass
@@ -48,25 +48,25 @@
         return self.parts.retry_budget.spend(self.call.service.name)
 
 
-class AttemptSteps(Protocol[_Place]):
+class AttemptSteps(Protocol[_Placement]):
     """Steps of an attempt that depend on the kind of call."""
 
     def may_send(self) -> bool:
         """Return whether another attempt is allowed."""
 
-    async def place(self) -> _Place | None:
+    async def place(self) -> _Placement | None:
         """Return where the next attempt goes, or None if nowhere for now."""
 
     def may_wait(self) -> bool:
         """Return whether placement may be tried again after a pause."""
 
-    async def run_attempt(self, place: _Place) -> bool:
+    async def run_attempt(self, placement: _Placement) -> bool:
         """Run an attempt; return whether no further attempt is needed."""
 
 
 async def run_attempts(
     limits: AttemptLimits,
-    steps: AttemptSteps[_Place],
+    steps: AttemptSteps[_Placement],
 ) -> bool:
     """Run attempts until no further attempt is needed or allowed.
 
--- a/bergamotthread/request/relay/call.py
+++ b/bergamotthread/request/relay/call.py
@@ -65,7 +65,7 @@
 class AttemptHeaders:
     """Values of the header fields that the entry adds to one attempt."""
 
-    instance: str
+    expected_instance: str
     remaining_ms: float
     resume_after: int | None = None
     copy_target: str = ''
@@ -107,7 +107,7 @@
     header_names: RelayHeaderNames,
 ) -> list[Header]:
     optional = (
-        (header_names.expected_instance, headers.instance),
+        (header_names.expected_instance, headers.expected_instance),
         (header_names.team, call.team),
         (header_names.copy_target, headers.copy_target),
         (header_names.copy_source, headers.copy_source),
--- a/bergamotthread/request/relay/copies.py
+++ b/bergamotthread/request/relay/copies.py
@@ -30,12 +30,12 @@
     ----------
     holder
         Upstream that holds the copy.
-    source
+    copy_id
         Identifier by which a request tells the holder to resume from the copy.
     """
 
     holder: Upstream
-    source: str
+    copy_id: str
 
 
 class CopyManager:
@@ -45,11 +45,11 @@
         self,
         parts: RelayParts,
         request_label: str,
-        tokens: int = 0,
+        prompt_tokens: int = 0,
     ) -> None:
         self._parts = parts
         self._label = request_label
-        self._tokens = tokens
+        self._prompt_tokens = prompt_tokens
         self._counted_holder: Upstream | None = None
         self._copy: KvCacheCopy | None = None
         self._upstream: Upstream | None = None
@@ -67,8 +67,8 @@
         self._is_sent_by_upstream = True
         self._count_at(copy_target)
         if copy_target is not None:
-            source = f'{copy_target.address}/{self._label}'
-            self._copy = KvCacheCopy(copy_target, source)
+            copy_id = f'{copy_target.address}/{self._label}'
+            self._copy = KvCacheCopy(copy_target, copy_id)
 
     def renew(self, make_request: Callable[[], RelayPlacementRequest]) -> None:
         """Replace or renew the copy if needed; called as events arrive.
@@ -131,7 +131,7 @@
             and not self._is_sent_by_upstream
             and self._upstream
         ):
-            await self._parts.kv_cache.drop(self._upstream, copy.source)
+            await self._parts.kv_cache.drop(self._upstream, copy.copy_id)
 
     def cancel(self) -> None:
         """Cancel a copy that is under way."""
@@ -140,11 +140,11 @@
             self._task = None
 
     def _count_at(self, holder: Upstream | None) -> None:
-        """Count this run's tokens at `holder` instead of the former holder."""
+        """Count the prompt at `holder` instead of the former holder."""
         if self._counted_holder is not None:
-            self._counted_holder.held_tokens -= self._tokens
+            self._counted_holder.held_tokens -= self._prompt_tokens
         if holder is not None:
-            holder.held_tokens += self._tokens
+            holder.held_tokens += self._prompt_tokens
         self._counted_holder = holder
 
     def _unusable_reason(self, copy: KvCacheCopy) -> str:
@@ -167,18 +167,18 @@
         return self._parts.choice.choose_copy_holder(request, domain)
 
     async def _copy_to(self, upstream: Upstream, target: Upstream) -> None:
-        source = await self._parts.kv_cache.copy(upstream, self._label, target)
+        copy_id = await self._parts.kv_cache.copy(upstream, self._label, target)
         self._task = None
-        pause_ms = RECOPY_INTERVAL_MS if source else COPY_RETRY_MS
+        pause_ms = RECOPY_INTERVAL_MS if copy_id else COPY_RETRY_MS
         self._next_copy_ms = self._parts.clock.now_ms() + pause_ms
-        if source:
+        if copy_id:
             self._count_at(target)
-            self._copy = KvCacheCopy(target, source)
+            self._copy = KvCacheCopy(target, copy_id)
             self._is_sent_by_upstream = False
         self._parts.log.write(
             'memory-copied',
             request=self._label,
             upstream=upstream.record.instance,
             holder=target.record.instance,
-            done=bool(source),
+            done=bool(copy_id),
         )
--- a/bergamotthread/request/relay/engine_memory.py
+++ b/bergamotthread/request/relay/engine_memory.py
@@ -28,7 +28,7 @@
         """
 
     @abstractmethod
-    async def drop(self, source: Upstream, name: str) -> None:
+    async def drop(self, source: Upstream, copy_id: str) -> None:
         """Free a copy that `copy` made, at the source and the target."""
 
     @abstractmethod
--- a/bergamotthread/request/relay/pace.py
+++ b/bergamotthread/request/relay/pace.py
@@ -15,7 +15,7 @@
         Monotonic time at which the wait for the first event began.
     count
         Number of parts or events that arrived.
-    first_ms, longest_gap_ms
+    first_ms, longest_pause_ms
         Time to the first event and the longest pause between two events.
     span_ms
         Time from the first event to the last.
@@ -24,7 +24,7 @@
     started_ms: float
     count: int = 0
     first_ms: float = 0
-    longest_gap_ms: float = 0
+    longest_pause_ms: float = 0
     span_ms: float = 0
     _last_ms: float = 0
 
@@ -36,5 +36,5 @@
         else:
             pause_ms = now_ms - self._last_ms
             self.span_ms += pause_ms
-            self.longest_gap_ms = max(self.longest_gap_ms, pause_ms)
+            self.longest_pause_ms = max(self.longest_pause_ms, pause_ms)
         self._last_ms = now_ms
--- a/bergamotthread/request/relay/plain_relay.py
+++ b/bergamotthread/request/relay/plain_relay.py
@@ -30,7 +30,7 @@
 DEADLINE_MARGIN_MS = 30
 # Fraction of a request's time limit for which it waits for an upstream.
 PLACEMENT_TIMEOUT_FRACTION = 0.2
-NO_UPSTREAM_RETRY_AFTER_MS = 300
+PLAIN_NO_UPSTREAM_RETRY_AFTER_MS = 300
 _SERVER_ERROR = 500
 
 
@@ -74,11 +74,11 @@
         """Return whether placement may be tried again after a pause."""
         return self._parts.clock.now_ms() <= self._placement_deadline_ms
 
-    async def run_attempt(self, place: Upstream) -> bool:
+    async def run_attempt(self, placement: Upstream) -> bool:
         """Run an attempt; return whether no further attempt is needed."""
-        outcome = await self._attempt(place)
-        self._log_outcome(place, outcome)
-        return self._handle_outcome(place, outcome)
+        outcome = await self._attempt(placement)
+        self._log_outcome(placement, outcome)
+        return self._handle_outcome(placement, outcome)
 
     async def _attempt(self, upstream: Upstream) -> AttemptOutcome:
         headers = AttemptHeaders(
@@ -95,7 +95,7 @@
     def _attempt_timeout_ms(self) -> float:
         """Return the timeout of the attempt that was just sent."""
         remaining_ms = self._limits.remaining_ms + DEADLINE_MARGIN_MS
-        may_retry = self._call.route.repeatability.may_repeat
+        may_retry = self._call.route.repeatability.may_retry
         if not may_retry or self._limits.attempts_sent > 1:
             return remaining_ms
         target_ms = self._call.route.first_event_target_ms
@@ -125,7 +125,7 @@
 
     def _may_retry(self) -> bool:
         return (
-            self._call.route.repeatability.may_repeat
+            self._call.route.repeatability.may_retry
             and self.may_send()
             and self._limits.remaining_ms > 0
         )
@@ -151,7 +151,7 @@
             503,
             'no-upstream',
             self._last_outcome or 'no upstream is available',
-            NO_UPSTREAM_RETRY_AFTER_MS,
+            PLAIN_NO_UPSTREAM_RETRY_AFTER_MS,
         )
 
     def _count_answer(self, status: int) -> None:
--- a/bergamotthread/request/relay/stream_relay.py
+++ b/bergamotthread/request/relay/stream_relay.py
@@ -61,7 +61,7 @@
 RESUME_STALL_TIMEOUT_MS = 1500
 # Fraction of the first-event target for which a stream waits for an upstream.
 PLACEMENT_TARGET_FRACTION = 0.4
-NO_UPSTREAM_RETRY_AFTER_MS = 500
+STREAM_NO_UPSTREAM_RETRY_AFTER_MS = 500
 _OK = 200
 
 
@@ -104,7 +104,7 @@
         A request that may have run is sent again only if the route allows
         retries.
         """
-        may_retry = self._call.route.repeatability.may_repeat
+        may_retry = self._call.route.repeatability.may_retry
         if self._may_have_run and not may_retry:
             return False
         return self._limits.has_attempts_left
@@ -131,11 +131,11 @@
             return True
         return self._parts.clock.now_ms() <= self._placement_deadline_ms
 
-    async def run_attempt(self, place: AttemptPlacement) -> bool:
+    async def run_attempt(self, placement: AttemptPlacement) -> bool:
         """Run an attempt; return whether no further attempt is needed."""
-        outcome = await self._attempt(place)
-        self._log_outcome(place, outcome)
-        return self._handle_outcome(place, outcome)
+        outcome = await self._attempt(placement)
+        self._log_outcome(placement, outcome)
+        return self._handle_outcome(placement, outcome)
 
     def _placement_request(self, *excluded: str) -> RelayPlacementRequest:
         return self._placer.placement_request(
@@ -152,7 +152,7 @@
             self._limits.remaining_ms,
             resume_after=self._last_event,
             copy_target=copy_target.address if copy_target else '',
-            copy_source=copy.source if copy else '',
+            copy_source=copy.copy_id if copy else '',
         )
         with Attempt(self._call, upstream, self._parts) as attempt:
             not_sent = await attempt.send(headers)
@@ -330,7 +330,7 @@
                 503,
                 'no-upstream',
                 self._last_outcome or 'no upstream is available',
-                NO_UPSTREAM_RETRY_AFTER_MS,
+                STREAM_NO_UPSTREAM_RETRY_AFTER_MS,
             )
         self._log_refusal(refusal.status, refusal.reason)
         send_refusal(self._call.exchange, refusal)
@@ -353,14 +353,14 @@
         metrics = self._parts.metrics
         metrics.answers.increment(str(_OK))
         metrics.first_event_ms.record(times.first_ms)
-        metrics.longest_pause_ms.record(times.longest_gap_ms)
+        metrics.longest_pause_ms.record(times.longest_pause_ms)
         self._parts.log.write(
             'stream-ended',
             request=self._call.request_label,
             attempts=self._limits.attempts_sent,
             events=times.count,
             first_ms=round(times.first_ms),
-            longest_pause_ms=round(times.longest_gap_ms),
+            longest_pause_ms=round(times.longest_pause_ms),
             span_ms=round(times.span_ms),
         )
 
@@ -387,5 +387,5 @@
             last_event=self._last_event,
             parts=self._attempt_times.count,
             first_ms=round(self._attempt_times.first_ms),
-            longest_gap_ms=round(self._attempt_times.longest_gap_ms),
+            longest_gap_ms=round(self._attempt_times.longest_pause_ms),
         )
--- a/bergamotthread/version/route_table.py
+++ b/bergamotthread/version/route_table.py
@@ -17,7 +17,7 @@
     RESUMABLE = 'resumable'
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Return whether a request may run more than once."""
         return self is not Repeatability.NEVER
 
