--- a/bergamotthread/process/generations/completions.py
+++ b/bergamotthread/process/generations/completions.py
@@ -90,7 +90,7 @@
         Raises
         ------
         RefusedError
-            If the request is not admitted; in this case nothing has run.
+            If the request is not admitted; in this case it starts nothing.
         """
         digest = request_digest(request, caller.team)
         offset = 0
@@ -115,8 +115,8 @@
 
     def evict_released(self) -> None:
         """Remove the keys of generations that the entry has released."""
-        for key, entry in tuple(self._generation_by_key.items()):
-            generation_id = entry.live.generation.spec.generation
+        for key, keyed in tuple(self._generation_by_key.items()):
+            generation_id = keyed.live.generation.spec.generation
             if generation_id not in self._generations.by_id:
                 self._generation_by_key.pop(key)
 
@@ -140,17 +140,17 @@
         return cursor
 
     def _join(self, caller: Caller, digest: int) -> LiveGeneration | None:
-        entry = self._generation_by_key.get(
+        keyed = self._generation_by_key.get(
             (caller.team, caller.idempotency_key)
         )
-        if entry is None or not caller.idempotency_key:
+        if keyed is None or not caller.idempotency_key:
             return None
-        if entry.digest != digest:
+        if keyed.digest != digest:
             raise _refusal_error(
                 ReasonCode.KEY_REUSED,
                 'the idempotency key was used with another request',
             )
-        return entry.live if _is_joinable(entry.live) else None
+        return keyed.live if _is_joinable(keyed.live) else None
 
     def _store_key(
         self,
--- a/bergamotthread/process/generations/generation_driver.py
+++ b/bergamotthread/process/generations/generation_driver.py
@@ -48,7 +48,7 @@
 class _DispatchTarget:
     """Agent that the next attempt is sent to.
 
-    `suspect` marks a request under which upstreams have died.
+    `suspect` is True if upstreams have died while running the request.
     """
 
     agent: str
@@ -276,8 +276,8 @@
             },
         )
         if not live.is_admitted:
-            unpinned = AttemptPlace(place.number, place.agent)
-            live.unconfirmed.add(unpinned)
+            unbound = AttemptPlace(place.number, place.agent)
+            live.unconfirmed.add(unbound)
         self.send_cancel(live, place)
         domain = self._placement.failure_domain(place.agent)
         if lost.is_silence and live.is_admitted:
--- a/bergamotthread/process/generations/generation_guards.py
+++ b/bergamotthread/process/generations/generation_guards.py
@@ -43,7 +43,7 @@
 class Proceed:
     """The next attempt may be sent, but not to `excluded_agents`.
 
-    `is_suspect` marks a request under which upstreams have died.
+    `is_suspect` is True if upstreams have died while running the request.
     """
 
     is_suspect: bool = False
@@ -163,7 +163,7 @@
         self.poison.record_progress(agent, generation_id, produced)
 
     def attempt_ended(self, live: LiveGeneration, agent: str) -> None:
-        """Record that an attempt ended while its upstream was alive."""
+        """Record that an attempt ended without the death of its upstream."""
         self.poison.record_end(
             agent,
             live.generation.spec.generation,
@@ -193,7 +193,7 @@
         """Record that an agent sent a message.
 
         With `is_new` the message came from a newer process at the agent's
-        address, so the earlier one is counted as dead.
+        address; if the agent was suspected, the earlier one is counted as dead.
         """
         suspicion = self._suspicion_by_agent.pop(agent, None)
         if suspicion is None:
@@ -205,7 +205,10 @@
             self.poison.record_end(agent, generation, completed=False)
 
     def expire_suspicions(self) -> None:
-        """Count agents suspected for `SUSPICION_TIMEOUT_MS` as dead."""
+        """Count upstreams of agents suspected for too long as dead.
+
+        The limit is `SUSPICION_TIMEOUT_MS`.
+        """
         before_ms = self._clock.now_ms() - SUSPICION_TIMEOUT_MS
         for agent, suspicion in tuple(self._suspicion_by_agent.items()):
             if suspicion.since_ms <= before_ms:
@@ -215,8 +218,8 @@
     def upstream_died(self, agent: str, failure_domain: str) -> None:
         """Record the death of an upstream for all requests that ran on it.
 
-        Further reports for the agent within `DEATH_REPORT_WINDOW_MS` concern
-        the same death and are ignored.
+        A report within `DEATH_REPORT_WINDOW_MS` of the previous one for the
+        agent concerns the same death and is ignored.
         """
         now_ms = self._clock.now_ms()
         since_ms = now_ms - self._death_ms_by_agent.get(
--- a/bergamotthread/process/generations/output_flusher.py
+++ b/bergamotthread/process/generations/output_flusher.py
@@ -14,7 +14,7 @@
 
 
 class OutputFlusher:
-    """Combines new output into one `OutputBatch` for each entry.
+    """Combines new output into one `OutputBatch` per entry and flush.
 
     If nothing was sent to an entry with running attempts for
     `HEARTBEAT_INTERVAL_MS`, it gets an empty batch as a heartbeat.
--- a/bergamotthread/process/generations/poison.py
+++ b/bergamotthread/process/generations/poison.py
@@ -1,9 +1,10 @@
 """Detection and quarantine of requests that crash the upstreams running them.
 
 When an upstream dies, the death is charged to the content fingerprint of each
-attempt that ran on it. Progress of an attempt clears its charges. A death is
-not counted if its failure domain lost several upstreams at once. A fingerprint
-is quarantined after `COUNTED_DEATHS_MAX` counted deaths without progress in
+attempt that ran on it. A charged death is not counted if its failure domain
+lost several upstreams at once. Progress of an attempt by `PROGRESS_MIN_TOKENS`
+clears the counted deaths, its completion all charged ones. A fingerprint is
+quarantined after `COUNTED_DEATHS_MAX` counted deaths without progress in
 between, or after `CHARGED_DEATHS_MAX` deaths of any kind without a completion.
 """
 
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Clear:
-    """The request may run anywhere: no death counts against it."""
+    """The request may run on any upstream."""
 
 
 @dataclass(frozen=True)
@@ -136,7 +137,10 @@
         self.deaths = DeathLog(self.clock, self.domain_size)
 
     def check(self, content_hash: int) -> PoisonVerdict:
-        """Return whether an attempt with this fingerprint may be sent."""
+        """Return whether and where an attempt with this fingerprint may run.
+
+        A fingerprint that has reached a limit is quarantined by this call.
+        """
         record = self._record_by_fingerprint.get(content_hash)
         if record is None:
             return Clear()
@@ -159,7 +163,8 @@
     def agents_with_other_suspects(self, content_hash: int) -> frozenset[str]:
         """Return the agents that run another suspect request.
 
-        Only requests that this process sent are known.
+        Only requests that this process sent are known, and an attempt that has
+        made progress is no longer suspect.
         """
         return frozenset(
             agent
@@ -233,9 +238,9 @@
         self._changed_fingerprints |= content_hashes
 
     def pop_changed_charges(self) -> tuple[Quarantine, ...]:
-        """Return the charges of this process that changed since the last call.
+        """Return the own counted deaths that changed since the last call.
 
-        A charge that rose and fell back between two calls, as in the loss of a
+        A number that rose and fell back between two calls, as in the loss of a
         failure domain, is not returned.
         """
         changed: list[Quarantine] = []
@@ -250,7 +255,7 @@
         return tuple(changed)
 
     def merge(self, sender: str, notice: Quarantine) -> None:
-        """Apply charges or a confirmed quarantine from another entry."""
+        """Apply counted deaths or a confirmed quarantine of another entry."""
         record = self._record(notice.fingerprint)
         if notice.confirmed:
             self.restore_quarantine(notice, QUARANTINE_MS)
--- a/bergamotthread/process/generations/quarantine_store.py
+++ b/bergamotthread/process/generations/quarantine_store.py
@@ -1,4 +1,7 @@
-"""Propagates charges and quarantines to peers, table and audit trail."""
+"""Propagates counted deaths and quarantines.
+
+Both are sent to peers; quarantines also go to the table and the audit trail.
+"""
 
 from __future__ import annotations
 
@@ -49,9 +52,9 @@
 class QuarantinePublisher(QuarantineSink):
     """Sends quarantines to peers and keeps rows until the table stores them.
 
-    Quarantines are sent immediately. Charges are sent by `flush`, and only the
-    newest of each fingerprint: the loss of a failure domain, after which
-    charges fall back to zero, then causes no traffic.
+    Quarantines are sent immediately. Counted deaths are sent by `flush`, and
+    only the newest number of each fingerprint: the loss of a failure domain,
+    after which the numbers fall back to zero, then causes no traffic.
     """
 
     clock: Clock
@@ -82,7 +85,10 @@
             self.dropped_rows += 1
 
     def flush(self, guard: PoisonGuard) -> None:
-        """Send changed charges to peers; called about once a second."""
+        """Send changed numbers of counted deaths to peers.
+
+        It is called about once a second.
+        """
         for notice in guard.pop_changed_charges():
             self._send_to_peers(notice)
 
--- a/bergamotthread/process/generations/quarantines.py
+++ b/bergamotthread/process/generations/quarantines.py
@@ -20,7 +20,7 @@
 
 
 class Quarantines:
-    """Sends charges to peers and stores confirmed quarantines in the table.
+    """Sends counted deaths to peers and stores quarantines in the table.
 
     `guard` is set once, before `run` is called.
     """
@@ -54,7 +54,7 @@
                 await self._synchronise()
 
     def on_message(self, envelope: Envelope) -> None:
-        """Apply a charge or quarantine from a peer."""
+        """Apply counted deaths or a quarantine from a peer."""
         if isinstance(envelope.message, Quarantine) and self.guard:
             self.guard.merge(envelope.sender, envelope.message)
 
--- a/bergamotthread/process/generations/running_attempts.py
+++ b/bergamotthread/process/generations/running_attempts.py
@@ -42,7 +42,10 @@
 
     @property
     def kv_tokens(self) -> float:
-        """KV cache tokens in use by the context and reserved for the output."""
+        """KV cache tokens of the context and of the output.
+
+        For the output, the larger of the produced and the reserved tokens.
+        """
         return self.context_tokens + max(self.produced, self.reserved_tokens)
 
 
@@ -64,7 +67,7 @@
     def record_prefill(self, tokens: int, duration_ms: float) -> None:
         """Record the time from start to first token.
 
-        Prompts shorter than `PREFILL_SAMPLE_MIN_TOKENS` are ignored: their
+        Prefills of less than `PREFILL_SAMPLE_MIN_TOKENS` are ignored: their
         time depends on the duration of an engine step rather than on the
         number of tokens.
         """
@@ -112,7 +115,10 @@
 
     @property
     def suspect_count(self) -> int:
-        """Number of suspect attempts with fewer than `PROGRESS_MIN_TOKENS`."""
+        """Number of suspect attempts without progress.
+
+        An attempt has made progress after `PROGRESS_MIN_TOKENS`.
+        """
         return sum(
             attempt.dispatch.suspect and attempt.produced < PROGRESS_MIN_TOKENS
             for attempt in self.by_key.values()
