--- a/bergamotthread/process/routing/agent_roster.py
+++ b/bergamotthread/process/routing/agent_roster.py
@@ -71,7 +71,7 @@
     def silent_agents(
         self, agents: Iterable[str], limit_ms: float
     ) -> frozenset[str]:
-        """Return those of `agents` not heard from for `limit_ms`."""
+        """Return those of `agents` not heard from for `limit_ms`, or never."""
         now_ms = self._clock.now_ms()
         return frozenset(
             agent
--- a/bergamotthread/process/routing/availability.py
+++ b/bergamotthread/process/routing/availability.py
@@ -16,7 +16,7 @@
 class Availability:
     """Tracks lost, draining, leaving and stopping agents.
 
-    A failure domain with recent losses is avoided for `DOMAIN_AVOIDANCE_MS`.
+    A loss makes its failure domain one to avoid for `DOMAIN_AVOIDANCE_MS`.
     """
 
     clock: Clock
@@ -45,7 +45,11 @@
         self._lost_ms_by_agent[agent] = self.clock.now_ms()
 
     def avoided_domains(self, losses_max: int) -> frozenset[str]:
-        """Return failure domains with more than `losses_max` recent losses."""
+        """Return failure domains with many recently lost agents.
+
+        A domain is returned if it lost more than `losses_max` agents within
+        `DOMAIN_AVOIDANCE_MS`.
+        """
         since_ms = self.clock.now_ms() - DOMAIN_AVOIDANCE_MS
         self._lost_ms_by_agent = {
             agent: lost_ms
--- a/bergamotthread/process/routing/load_view.py
+++ b/bergamotthread/process/routing/load_view.py
@@ -61,8 +61,9 @@
     """Estimates the load of all agents that report or receive dispatches.
 
     The estimate is a weighted mean of the agent's report and the mean of all
-    reports; the weight of the former halves every `half_life_ms`. Own
-    dispatches that the report can't include yet are added in full.
+    reports; the weight of the former halves every `half_life_ms`. Capacity and
+    prefill rate are those of the report. Own dispatches that the report can't
+    include yet are added in full.
     """
 
     clock: Clock
@@ -118,7 +119,7 @@
         return _add_dispatches(estimate, _unreported_dispatches(load))
 
     def attempts(self, agent: str) -> int:
-        """Return the attempts at an agent: reported, and sent since then."""
+        """Return the attempts at an agent: reported, or own and sent since."""
         load = self._load_by_agent.get(agent)
         if load is None:
             return 0
--- a/bergamotthread/process/routing/pin_demand.py
+++ b/bergamotthread/process/routing/pin_demand.py
@@ -34,13 +34,13 @@
         self._decay()
         seconds = TIME_CONSTANT_MS / _MS_PER_S
         return {
-            pin: weight / seconds
-            for pin, weight in self._decayed_count_by_pin.items()
+            pin: count / seconds
+            for pin, count in self._decayed_count_by_pin.items()
         }
 
     def _decay(self) -> None:
         now_ms = self._clock.now_ms()
         factor = math.exp((self._updated_ms - now_ms) / TIME_CONSTANT_MS)
         self._updated_ms = now_ms
-        for pin, weight in self._decayed_count_by_pin.items():
-            self._decayed_count_by_pin[pin] = weight * factor
+        for pin, count in self._decayed_count_by_pin.items():
+            self._decayed_count_by_pin[pin] = count * factor
--- a/bergamotthread/process/routing/placement.py
+++ b/bergamotthread/process/routing/placement.py
@@ -20,9 +20,10 @@
     prefix_hashes
         Chained hashes of the prompt's blocks, shortest prefix first.
     excluded
-        Agents that lost or declined an attempt of this generation.
+        Agents not to use, such as those that lost or declined an attempt of
+        this generation.
     resume
-        Whether the attempt continues a generation after a loss.
+        Whether an earlier attempt of the generation may have run.
     cross_region
         Whether upstreams outside the own region may be used.
     regions
--- a/bergamotthread/process/routing/prefix_hash.py
+++ b/bergamotthread/process/routing/prefix_hash.py
@@ -1,4 +1,4 @@
-"""Chained hashes of prompt blocks, and an estimate of who caches them."""
+"""Chained hashes of prompt blocks, and estimates of the agents caching them."""
 
 from __future__ import annotations
 
--- a/bergamotthread/process/routing/routing.py
+++ b/bergamotthread/process/routing/routing.py
@@ -48,8 +48,9 @@
     """Selects the cheapest of a few candidates.
 
     Candidates are a random sample of the own region, one upstream of another
-    region, and the agents that cache the longest prefix of the prompt. Agents
-    that are lost, draining or excluded are never candidates. Failure domains
+    region (as many as usual of the own, if that has none), and some agents that
+    cache the longest prefix of the prompt. Agents that are unavailable (see
+    `Availability`) or excluded are never candidates. Failure domains
     with several recent losses are only used if no other is left; for resumed
     attempts one loss is enough. Resumed attempts sample twice as many
     candidates, so that several entries spread them over many of the remaining
@@ -272,8 +273,9 @@
     ) -> list[Target]:
         """Return up to `count` random eligible targets.
 
-        Only twice as many targets are drawn and checked, which is nearly
-        always enough, so the cost does not grow with the number of targets.
+        Twice as many targets are drawn and checked, which is nearly always
+        enough, so the cost does not grow with the number of targets. If too
+        few of them are eligible, all targets are checked.
         """
         draw_count = min(2 * count, len(targets))
         drawn = self._random.sample(targets, draw_count)
--- a/bergamotthread/process/routing/standby.py
+++ b/bergamotthread/process/routing/standby.py
@@ -19,9 +19,10 @@
 class Standbys:
     """Keeps a warm standby for generations whose policy requires one.
 
-    The standby is chosen in another failure domain than the current attempt.
-    Its prefix cache is warmed again every `REWARM_TOKENS`, so that a resume
-    has little to prefill. Attempts that only warm it have negative numbers.
+    The standby is chosen in another failure domain than that of the current
+    attempt, if one is left. Its prefix cache is warmed again every
+    `REWARM_TOKENS`, so that a resume has little to prefill. Attempts that only
+    warm it have negative numbers.
     """
 
     def __init__(
--- a/bergamotthread/process/routing/subset.py
+++ b/bergamotthread/process/routing/subset.py
@@ -2,8 +2,8 @@
 
 Each upstream selects the entries of its region with the highest rendezvous
 scores, and the subset of an entry consists of the upstreams that selected it.
-Every upstream therefore has an entry, and a process that joins or leaves only
-changes its own pairs.
+Every upstream therefore has an entry if its region has one, and a process that
+joins or leaves changes little beyond its own pairs.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
         that many.
     upstreams_per_entry
         Minimum mean size of a region's subsets; more entries select each
-        upstream if that is needed to reach it. A subset of less than half of
-        this size is filled up with upstreams that did not select the entry.
+        upstream if that is needed to reach it. A smaller subset is filled up
+        to half of this size with upstreams that did not select the entry.
     failure_domains
         Minimum number of failure domains in a subset, if there are that many.
     """
