--- a/bergamotthread/process/overload/admission.py
+++ b/bergamotthread/process/overload/admission.py
@@ -22,10 +22,10 @@
 from bergamotthread.wire.messages import Dispatch, LoadReport
 
 CHARS_PER_TOKEN = 4
-# In prefill tokens.
+# Cost of an output token, as a number of prefill tokens.
 OUTPUT_TOKEN_COST = 40
 REMEMBERED_DECISIONS_MAX = 4096
-# Prefill limit of resumed attempts, as a multiple of that of new work;
+# Prefill limit of dispatches with priority, as a multiple of that of new work;
 # benchmarks.routing (scattered loss) compares 1, 2 and 3.
 RESUMED_PREFILL_FACTOR = 2
 ACTIVE_TEAM_MS = 60_000
@@ -45,15 +45,17 @@
     kv_capacity
         Tokens that the KV cache holds.
     prefill_tokens
-        Prefill tokens in progress at a time; an attempt that is larger runs
-        while no other prefill is in progress.
+        Prefill tokens in progress at a time. An attempt that is larger starts
+        only while no other prefill is in progress.
     max_queued
         Dispatches that wait at a time.
     queue_wait_ms
-        Longest expected wait of new work; resumed attempts may wait longer.
+        Longest expected wait of new work; dispatches with priority, such as
+        resumed attempts, may wait longer.
     team_threshold
         While other teams are active, a team may use at most this many times
-        the free slots (Choudhury and Hahne 1998), so that some stay free.
+        the free slots (Choudhury and Hahne 1998), so that some stay free. A
+        team may always run one attempt.
     """
 
     max_running: int = 64
@@ -81,7 +83,11 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The dispatch waits; a later call of `next_ready` returns it."""
+    """The dispatch waits.
+
+    A later call of `next_ready` returns it, unless it is refused or revoked
+    before.
+    """
 
     ahead: int
     expected_wait_ms: float
@@ -89,7 +95,10 @@
 
 @dataclass(frozen=True)
 class Duplicate:
-    """The attempt was offered before; the message is a duplicate."""
+    """The attempt was offered before; the message is a duplicate.
+
+    `dispatched` is False if the attempt still waits in the queue.
+    """
 
     dispatched: bool
 
@@ -142,9 +151,10 @@
 class AdmissionGate:
     """Decides when each attempt may use one engine.
 
-    Resumed attempts go first. New work is shared between teams by weight, held
-    back while too much prefill is in progress or the KV cache is full, and
-    refused if its expected wait exceeds the limit or its deadline.
+    Resumed attempts and dispatches with priority go first; new work is shared
+    between teams by weight. Dispatches wait while too much prefill is in
+    progress or the KV cache is full. They are refused if their expected wait
+    exceeds their deadline, new work also if it exceeds `queue_wait_ms`.
     """
 
     clock: Clock
@@ -186,13 +196,13 @@
         return tuple(started)
 
     def take_refused(self) -> tuple[Refused, ...]:
-        """Return the queued attempts refused since the last call."""
+        """Return the attempts refused while queued, since the last call."""
         refused = tuple(self._refused)
         self._refused.clear()
         return refused
 
     def record_start(self, generation: str, attempt: int) -> None:
-        """Record that the dispatch of an attempt was sent just now."""
+        """Record that an attempt was sent to the engine just now."""
         running = self.running.by_key.get(AttemptKey(generation, attempt))
         if running is not None:
             running.started_ms = self.clock.now_ms()
@@ -239,8 +249,12 @@
     def load_report(self) -> LoadReport:
         """Return the current load; tokens of queued work are included."""
         waiting = [queued.dispatch for queued in self._queue.waiting]
-        context_tokens = sum(self._context_tokens(queued) for queued in waiting)
-        prefill_tokens = sum(self._prefill_tokens(queued) for queued in waiting)
+        context_tokens = sum(
+            self._context_tokens(dispatch) for dispatch in waiting
+        )
+        prefill_tokens = sum(
+            self._prefill_tokens(dispatch) for dispatch in waiting
+        )
         prefill_tokens += int(
             self.running.remaining_prefill_tokens(self.clock.now_ms())
         )
@@ -412,7 +426,7 @@
         return max(prefill_ms, max(0, ahead + 1 - free) * slot_ms)
 
     def _retry_after_ms(self, dispatch: Dispatch) -> int:
-        """Return the time until the expected wait is below its limit."""
+        """Return when new work may be queued again, as a bounded estimate."""
         wait_ms = self._expected_wait_ms(self._prepare(dispatch))
         excess_ms = wait_ms - self.limits.queue_wait_ms
         bounded_ms = min(RETRY_AFTER_MAX_MS, excess_ms)
--- a/bergamotthread/process/overload/overload.py
+++ b/bergamotthread/process/overload/overload.py
@@ -64,8 +64,8 @@
 class Overloaded:
     """The request is refused before anything was sent.
 
-    `retry_after_ms` is the time after which, without new work, the value that
-    decided will be below its limit.
+    `retry_after_ms` is an estimate, within bounds, of the time after which the
+    value that decided is below its limit if no new work is started.
     """
 
     decided_by: str
@@ -126,7 +126,13 @@
         self._teams.add(team, 1, self.clock.now_ms())
 
     def record_end(self, team: str, run_ms: float) -> None:
-        """Record the end of a request after `run_ms`, 0 if it did not run."""
+        """Record the end of a request.
+
+        Parameters
+        ----------
+        run_ms
+            Duration of the request, 0 if it did not complete.
+        """
         self._teams.add(team, -1, self.clock.now_ms())
         if run_ms:
             self.run_ms += _RUN_SMOOTHING * (run_ms - self.run_ms)
@@ -163,7 +169,11 @@
         measured: float,
         limit: float,
     ) -> Overloaded:
-        """Return a refusal, given that load decays with the mean run time."""
+        """Return a refusal.
+
+        Its retry time assumes that load decays exponentially, with the mean
+        run time as time constant.
+        """
         wait_ms = self.run_ms * math.log(max(measured / limit, 1))
         bounded_ms = min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, wait_ms))
         figures = {'measured': measured, 'limit': limit}
--- a/bergamotthread/process/overload/retry_budget.py
+++ b/bergamotthread/process/overload/retry_budget.py
@@ -19,7 +19,7 @@
     Parameters
     ----------
     per_success
-        Retries earned by each attempt that succeeds.
+        Retries earned by each request that succeeds.
     per_s
         Retries earned per second, independent of successes.
     burst
