--- a/bergamotthread/process/calls/call_cleaner.py
+++ b/bergamotthread/process/calls/call_cleaner.py
@@ -44,7 +44,8 @@
         Maximum number of rows per scan. A prefix that reaches it is made
         longer and scanned again.
     writes_max
-        Maximum number of rows that a step writes or deletes.
+        Number of writes and deletions after which a step ends, index rows
+        included.
     grace_ms
         Time after the end of its lease at which a dispatched row is marked
         unknown.
@@ -61,7 +62,10 @@
 
 @dataclass(frozen=True)
 class CleanerStep:
-    """Numbers of rows that a step scanned, deleted and marked unknown."""
+    """Numbers of rows that a step scanned, deleted and marked unknown.
+
+    Unknown rows whose missing index row was written count as marked.
+    """
 
     scanned: int = 0
     deleted: int = 0
--- a/bergamotthread/process/calls/call_executor.py
+++ b/bergamotthread/process/calls/call_executor.py
@@ -57,7 +57,8 @@
         Timeout for the upstream's answer to a guarded call. It also applies
         after the caller has disconnected.
     replies_max, reply_bytes_max
-        Maximum number and total bytes of replies kept for later queries.
+        Maximum number and total bytes of replies kept. A revocation of a call
+        that was sent is answered with them.
     fences_max
         Number of keys whose highest fencing token is kept.
     retry_after_ms
@@ -112,7 +113,7 @@
     clock
         Source of time.
     limits
-        Limits of the executor.
+        Limits of the executor; None for the defaults.
     checks_fencing
         Whether the service itself refuses old fencing tokens. If not, the
         executor refuses them.
--- a/bergamotthread/process/calls/call_operations.py
+++ b/bergamotthread/process/calls/call_operations.py
@@ -110,7 +110,7 @@
 
 
 async def list_unknown(table: Table, *, limit: int) -> tuple[CallRecord, ...]:
-    """Return the calls with an unknown outcome.
+    """Return the calls with an unknown outcome, from up to `limit` index rows.
 
     Index rows of calls that are settled or no longer exist are deleted.
     """
@@ -142,7 +142,8 @@
     """Resolve an unknown call with the outcome that an operator determined.
 
     From then on no request with its key runs the call. The audit record is
-    stored first, so that every resolution has one.
+    stored first, so that every resolution has one; a record may therefore exist
+    for a resolution that failed.
 
     Raises
     ------
--- a/bergamotthread/process/calls/call_runner.py
+++ b/bergamotthread/process/calls/call_runner.py
@@ -43,9 +43,9 @@
     clock
         Source of time.
     limits
-        Limits of calls.
+        Limits of calls; None for the defaults.
     rng
-        Source of jitter.
+        Source of jitter; None for a new one.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
 
     @property
     def running(self) -> int:
-        """Number of guarded calls whose rows are not settled yet."""
+        """Number of guarded calls in progress, until their rows are settled."""
         return len(self._call_by_task)
 
     @property
@@ -106,17 +106,17 @@
         return self._mailboxes.deliver(envelope)
 
     def on_agent_lost(self, agent: str) -> None:
-        """Stop waiting for calls at an agent whose process has ended."""
+        """Stop waiting for guarded calls at an agent whose process ended."""
         for call in self._call_by_task.values():
             call.agents.on_agent_lost(agent)
 
     async def finish(self) -> None:
-        """Wait until every row is settled."""
+        """Wait until no guarded call is in progress."""
         while self._call_by_task:
             await asyncio.wait(self._call_by_task)
 
     def close(self) -> None:
-        """Cancel all calls, which has the same effect as the process's end."""
+        """Cancel all guarded calls, as the end of the process does."""
         for task in tuple(self._call_by_task):
             task.cancel()
 
