--- a/bergamotthread/process/shares/rate_share.py
+++ b/bergamotthread/process/shares/rate_share.py
@@ -45,7 +45,13 @@
         return max(2, self.per_s * self.burst_s)
 
     async def acquire(self, *, preferred: bool, timeout_ms: float) -> bool:
-        """Wait for a token for up to `timeout_ms`; return False on timeout."""
+        """Wait for a token.
+
+        Returns
+        -------
+        bool
+            False if no token is expected within `timeout_ms`.
+        """
         self._refill()
         reserve_tokens = (
             float(0) if preferred else self.capacity * self.reserved_fraction
--- a/bergamotthread/process/shares/share_home.py
+++ b/bergamotthread/process/shares/share_home.py
@@ -43,11 +43,11 @@
 class ShareHome:
     """Leases that this entry has granted for the teams it is the home of.
 
-    The sum of the leases that it grants for a team never exceeds the team's
-    pool. A lease that isn't renewed stays counted for `LEASE_HOLD_MS`, which is
-    ten seconds longer than it is valid, since views of the membership may
-    differ for that long. For its first `LEASE_HOLD_MS` a new home only renews
-    what entries report to hold.
+    No lease is granted that would raise the sum of a team's leases above the
+    team's pool. A lease that isn't renewed stays counted for `LEASE_HOLD_MS`,
+    which is ten seconds longer than it is valid, since views of the membership
+    may differ for that long. For its first `LEASE_HOLD_MS` a new home only
+    renews what entries report to hold.
 
     Parameters
     ----------
@@ -101,6 +101,8 @@
     ) -> TeamShare:
         """Return the share that an entry is leased now.
 
+        The share is 0 if this entry is not the home of the team.
+
         Parameters
         ----------
         entry
--- a/bergamotthread/process/shares/share_usage.py
+++ b/bergamotthread/process/shares/share_usage.py
@@ -152,9 +152,9 @@
     def needs_lease(self, now_ms: float) -> bool:
         """Return whether more than half of what is allowed is in use."""
         self._refill(now_ms)
-        half_depth = self._bucket_size(self._rate(now_ms)) / 2
+        half_bucket = self._bucket_size(self._rate(now_ms)) / 2
         half_running = self._allowed_running(now_ms) / 2
-        return self._tokens < half_depth or self.running > half_running
+        return self._tokens < half_bucket or self.running > half_running
 
     def wanted_per_s(self, now_ms: float) -> float:
         """Return the demand here in requests per second."""
--- a/bergamotthread/process/shares/shares.py
+++ b/bergamotthread/process/shares/shares.py
@@ -165,7 +165,7 @@
                 self._apply_grants(envelope.sender, grants)
 
     def record_suspected(self) -> None:
-        """Record that other entries suspected this one for a while."""
+        """Record that other entries may have suspected this one for a while."""
         self.home.record_suspected(self._clock.now_ms())
 
     async def run(self) -> None:
@@ -175,7 +175,10 @@
             await self._clock.sleep_ms(TICK_MS)
 
     def tick(self) -> None:
-        """Request the leases that are due."""
+        """Request the leases that are due.
+
+        Idle teams are removed every `CLEANUP_INTERVAL_MS`.
+        """
         now_ms = self._clock.now_ms()
         if now_ms - self._ticked_ms >= PAUSE_DETECTION_MS:
             self.record_suspected()
@@ -196,7 +199,10 @@
             self._request_leases(home, tuple(demands), now_ms)
 
     def _due_teams(self, now_ms: float) -> list[str]:
-        """Return the teams whose lease is due, in order of falling demand."""
+        """Return the teams whose lease is due, in order of falling demand.
+
+        Teams that need no lease are removed from the active ones.
+        """
         due = []
         for name in tuple(self._active):
             usage = self._usage_by_team.get(name)
@@ -221,7 +227,7 @@
         )
 
     def _is_due(self, name: str, usage: ShareUsage, now_ms: float) -> bool:
-        asked_ms = self._requested_ms_by_team.get(name, -math.inf)
+        requested_ms = self._requested_ms_by_team.get(name, -math.inf)
         wanted = usage.wanted(now_ms)
         held = usage.held(now_ms)
         is_short = wanted > held + usage.floor
@@ -230,7 +236,7 @@
         interval_ms = (
             RENEW_URGENT_INTERVAL_MS if is_urgent else RENEW_INTERVAL_MS
         )
-        return now_ms - asked_ms >= interval_ms
+        return now_ms - requested_ms >= interval_ms
 
     def _request_leases(
         self,
--- a/bergamotthread/process/shares/team_usage.py
+++ b/bergamotthread/process/shares/team_usage.py
@@ -59,7 +59,12 @@
 
 @dataclass
 class TeamUsage:
-    """Usage of all teams that were active in the last `ACTIVE_TEAM_MS`."""
+    """Usage of all active teams.
+
+    A team is active while it has requests in flight and for `ACTIVE_TEAM_MS`
+    after its last request was offered or ended. Its weight is read when it
+    becomes active.
+    """
 
     weight_of: Callable[[str], float]
     total: Usage
