--- a/bergamotthread/process/orders/order_gate.py
+++ b/bergamotthread/process/orders/order_gate.py
@@ -58,7 +58,11 @@
         self._lock = asyncio.Lock()
 
     async def handle_order(self, order: Order) -> OrderReply:
-        """Execute or refuse an order; orders are handled one at a time."""
+        """Execute or refuse an order; orders are handled one at a time.
+
+        A repetition of the last accepted order gets the same reply without
+        being executed again.
+        """
         async with self._lock:
             stamp = (order.fence, order.number)
             if stamp == self._last_stamp:
--- a/bergamotthread/process/orders/orders.py
+++ b/bergamotthread/process/orders/orders.py
@@ -75,7 +75,7 @@
     demand_by_pin
         Demand for each pin, in requests per second.
     busy
-        Agents that are still executing an order.
+        Agents whose last order is still pending.
 
     Returns
     -------
@@ -191,7 +191,10 @@
             await self._clock.sleep_ms(TICK_MS)
 
     def tick(self) -> None:
-        """Send the orders that are due, if the lease is held."""
+        """Send the orders that are due, if the lease is held.
+
+        At most `ORDERS_PER_TICK` are sent, as far as the rate limit allows.
+        """
         if not self._lease.is_valid():
             return
         if self._lease.fence != self._fence:
@@ -209,7 +212,10 @@
                 return
 
     def on_message(self, envelope: Envelope) -> None:
-        """Handle a reply to an order; other messages are ignored."""
+        """Handle a reply to an order; other messages are ignored.
+
+        A reply with a newer fence ends the own term.
+        """
         match envelope.message:
             case OrderReply(fence=fence) as reply if fence == self._fence:
                 self._apply_reply(envelope.sender, reply)
--- a/bergamotthread/process/orders/region_lease.py
+++ b/bergamotthread/process/orders/region_lease.py
@@ -48,9 +48,9 @@
 
     The holder measures the lease from before the write that renewed it. Other
     processes measure from when they first saw the current revision of the row.
-    If it doesn't change for longer than the lease, they take over with the
-    next fence. All use their own monotonic clocks, so calendar clocks need not
-    agree.
+    If it doesn't change for `LEASE_MS` and a margin of `TAKE_OVER_MARGIN_MS`,
+    they take over with the next fence. All use their own monotonic clocks, so
+    calendar clocks need not agree.
 
     Parameters
     ----------
@@ -94,7 +94,14 @@
         self._valid_until_ms = float(0)
 
     async def run(self, is_candidate: Callable[[], bool]) -> None:
-        """Renew or watch the lease until cancelled."""
+        """Renew or watch the lease until cancelled.
+
+        Parameters
+        ----------
+        is_candidate
+            Returns whether this process may take over the lease. If not, it
+            still renews a lease that it holds.
+        """
         while True:
             if is_candidate() or self.is_valid():
                 await self.step()
