--- a/bergamotthread/process/membership/gossip_queue.py
+++ b/bergamotthread/process/membership/gossip_queue.py
@@ -49,7 +49,7 @@
         max_records: int,
         member_count: int,
     ) -> tuple[Member, ...]:
-        """Return the least often sent changes that fit, as sent once more."""
+        """Return the least often sent changes that fit, and count them."""
         sends_max = RETRANSMIT_FACTOR * math.ceil(math.log2(member_count + 2))
         chosen = []
         candidates = heapq.nsmallest(
--- a/bergamotthread/process/membership/gossip_sender.py
+++ b/bergamotthread/process/membership/gossip_sender.py
@@ -30,9 +30,10 @@
 class GossipSender:
     """Sends membership messages within a byte budget.
 
-    Each message carries the own record, the receiver's record if the receiver
-    has to refute it, the least often sent changes, and two records in rotation,
-    so that views that have diverged converge again.
+    Each probe and reply carries the own record and the receiver's record if the
+    receiver has to refute it. As far as the budget allows, it also carries the
+    least often sent changes, and two records in rotation, so that views that
+    have diverged converge again.
 
     Parameters
     ----------
@@ -67,21 +68,21 @@
         self._queue.push(member)
 
     def send_probe(self, peer: str, sequence: int) -> None:
-        """Send a probe."""
+        """Send a probe, unless the budget is spent."""
         members = self._records_for(peer)
         if members:
             version = self._config_version()
             self._transport.send(peer, Probe(sequence, members, version))
 
     def send_reply(self, peer: str, sequence: int) -> None:
-        """Send the reply to a probe."""
+        """Send the reply to a probe, unless the budget is spent."""
         members = self._records_for(peer)
         if members:
             version = self._config_version()
             self._transport.send(peer, ProbeReply(sequence, members, version))
 
     def send_request(self, peer: str, sequence: int, target: str) -> None:
-        """Ask `peer` to probe `target`."""
+        """Ask `peer` to probe `target`, unless the budget is spent."""
         if self._budget.try_spend(MESSAGE_BYTES, self._clock.now_ms()):
             self._transport.send(peer, ProbeRequest(sequence, target))
         else:
--- a/bergamotthread/process/membership/host_watch.py
+++ b/bergamotthread/process/membership/host_watch.py
@@ -20,11 +20,12 @@
 
 
 class HostWatch:
-    """Polls the host list and notifies hosts that are leaving to drain.
+    """Polls the host list and sends drain notices to hosts that are leaving.
 
     Three entries of a region, chosen by rendezvous hashing, poll every second,
-    the others every ten seconds. A notice is repeated with each poll until the
-    host is no longer listed, so a lost notice only costs one interval.
+    the others every ten seconds. Hosts of the own region are notified. A notice
+    is repeated with each poll until the host is no longer listed, so a lost
+    notice only costs one interval.
 
     Parameters
     ----------
@@ -37,7 +38,7 @@
     host_list
         The platform's host list.
     region_entries
-        Returns the live entries of the own region.
+        Returns the responsive entries of the own region.
     """
 
     def __init__(
--- a/bergamotthread/process/membership/member_table.py
+++ b/bergamotthread/process/membership/member_table.py
@@ -35,8 +35,9 @@
 class _Known(msgspec.Struct):
     """Record of a member, and the start of its timer while it is not alive.
 
-    `doubted_ms` is when the member became suspect or dead, or when a leaving
-    member first failed to answer; None if no timer runs.
+    `doubted_ms` is when the timer started: when the member became suspect or
+    dead, was last heard from while suspect or listed while dead, or first
+    failed to answer while leaving. It is None if no timer runs.
     """
 
     member: Member
@@ -109,7 +110,11 @@
         return self._put(member, now_ms)
 
     def record_heard(self, address: str, now_ms: float) -> None:
-        """Restart or stop the removal timer of a member just heard from."""
+        """Record that a member was heard from just now.
+
+        This restarts the removal timer of a suspected member and stops that of
+        a leaving one.
+        """
         record = self._record_by_address.get(address)
         if record is None or record.doubted_ms is None:
             return
--- a/bergamotthread/process/membership/membership.py
+++ b/bergamotthread/process/membership/membership.py
@@ -124,7 +124,7 @@
         self._listeners.append(listener)
 
     def add_version_listener(self, listener: VersionListener) -> None:
-        """Call `listener` with address and version for each message."""
+        """Call `listener` with sender and version of each probe and reply."""
         self._version_listeners.append(listener)
 
     def live_members(self) -> tuple[Member, ...]:
@@ -194,7 +194,7 @@
                 self._probe_for(envelope.sender, sequence, target)
 
     def apply_hosts(self, hosts: tuple[HostEntry, ...]) -> None:
-        """Use the platform's host list as seeds."""
+        """Use the entries of the host list as seeds, and mark leaving ones."""
         self._listed = frozenset(
             host.address
             for host in hosts
@@ -279,10 +279,10 @@
             self._sender.send_reply(*relayed)
 
     def _probe_for(self, requester: str, sequence: int, target: str) -> None:
-        number = self._prober.start_relay(
+        relay_sequence = self._prober.start_relay(
             requester, sequence, target, self._clock.now_ms()
         )
-        self._sender.send_probe(target, number)
+        self._sender.send_probe(target, relay_sequence)
 
     def _apply_host(self, host: HostEntry) -> None:
         self._seeds[host.address] = None
--- a/bergamotthread/process/membership/own_host_watch.py
+++ b/bergamotthread/process/membership/own_host_watch.py
@@ -57,9 +57,10 @@
         return max(MIN_INTERVAL_MS, fleet_interval_ms)
 
     async def run(self) -> None:
-        """Poll the list until cancelled, at a time that depends on the address.
+        """Poll the list until cancelled.
 
-        This spreads the reads of all agents over the interval.
+        The first read is delayed by up to `MIN_INTERVAL_MS`, depending on the
+        address. This spreads the reads of all agents over that time.
         """
         phase = xxhash.xxh32_intdigest(self._address.encode()) / 2**32
         await self._clock.sleep_ms(phase * MIN_INTERVAL_MS)
--- a/bergamotthread/process/membership/prober.py
+++ b/bergamotthread/process/membership/prober.py
@@ -71,7 +71,7 @@
         target: str,
         now_ms: float,
     ) -> int:
-        """Return the sequence number of a probe for another member."""
+        """Return the sequence number of a probe that `requester` asked for."""
         self._sequence += 1
         relayed = _Relayed(requester, sequence, target, now_ms)
         self._relayed_by_sequence[self._sequence] = relayed
@@ -88,12 +88,21 @@
         return pending.target if pending else None
 
     def end_relay(self, sequence: int) -> tuple[str, int] | None:
-        """End a probe for another member; return that and its number."""
+        """End a probe made on request.
+
+        Returns
+        -------
+        tuple of str and int, or None
+            The requester and its sequence number of the probe.
+        """
         relayed = self._relayed_by_sequence.pop(sequence, None)
         return (relayed.requester, relayed.sequence) if relayed else None
 
     def take_indirect_due(self, now_ms: float) -> tuple[tuple[int, str], ...]:
-        """Return number and target of the probes to repeat through others."""
+        """Return number and target of the probes to repeat through others.
+
+        The number is the sequence number that `start` returned.
+        """
         due = []
         for sequence, pending in self._pending_by_sequence.items():
             if now_ms >= pending.indirect_ms:
@@ -108,9 +117,9 @@
             if now_ms - pending.sent_ms >= PROBE_TIMEOUT_MS:
                 self._pending_by_sequence.pop(sequence)
                 failed.append(pending.target)
-        for number, relayed in tuple(self._relayed_by_sequence.items()):
+        for relay_sequence, relayed in tuple(self._relayed_by_sequence.items()):
             if now_ms - relayed.sent_ms >= RELAY_TIMEOUT_MS:
-                self._relayed_by_sequence.pop(number)
+                self._relayed_by_sequence.pop(relay_sequence)
         return tuple(failed)
 
     def clear(self) -> None:
