--- a/bergamotthread/process/drain/drain_plan.py
+++ b/bergamotthread/process/drain/drain_plan.py
@@ -164,8 +164,9 @@
 ) -> DrainPlan:
     """Return stops for `targets` that stay within the limits.
 
-    Stops in the published version count towards the limits, and their hosts
-    are not planned again. Each target gets the first slot with room for it.
+    Published stops whose deadline lies ahead count towards the limits if their
+    hosts run upstreams; none of their hosts is planned again. Each target gets
+    the first slot with room for it.
 
     Parameters
     ----------
@@ -175,7 +176,7 @@
     Raises
     ------
     DrainPlanError
-        If a limit is not positive.
+        If `per_failure_domain` or `duration_ms` is not positive.
     """
     _check_limits(limits)
     start_ms = calendar_ms + limits.lead_ms
--- a/bergamotthread/process/drain/drain_report.py
+++ b/bergamotthread/process/drain/drain_report.py
@@ -47,7 +47,8 @@
     """Writes the drain report of one process.
 
     A report is written when the phase changes and, during a drain, every
-    `REPORT_INTERVAL_MS`.
+    `REPORT_INTERVAL_MS`. Without a drain, one is written only to replace a
+    report that exists.
 
     Parameters
     ----------
@@ -79,9 +80,9 @@
     ) -> bool:
         """Write a report if one is due; return whether it was accepted.
 
-        If the store is unavailable, the report remains due for the next call.
-        A process that starts replaces the report of an earlier process at its
-        address.
+        If the store is unavailable or another process wrote at the same time,
+        the report remains due for the next call. A process that starts replaces
+        the report of an earlier process at its address.
         """
         report = DrainReport(
             address=self._address,
@@ -157,7 +158,11 @@
     report: DrainReport | None,
     calendar_ms: int,
 ) -> DrainVerdict:
-    """Return whether a report shows that its host is safe to stop."""
+    """Return whether a report shows that its host is safe to stop.
+
+    It has to be at most `REPORT_MAX_AGE_MS` old and of a drained process that
+    holds no work.
+    """
     if report is None:
         return DrainVerdict(address, safe=False, reasons=('no drain report',))
     age_ms = calendar_ms - report.updated_ms
