--- a/bergamotthread/platform/checks.py
+++ b/bergamotthread/platform/checks.py
@@ -36,7 +36,8 @@
     ------
     PlatformCheckError
         If the file can't be read or decoded, or if a route names an unknown
-        service, has a malformed prefix or repeats another route.
+        service, has a malformed prefix or has the host and prefix of another
+        route.
     """
     try:
         table = decode_manifest(path.read_bytes())
--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -57,7 +57,7 @@
     _updated: asyncio.Event = field(default_factory=asyncio.Event)
 
     def restart(self, version: int, requested_ms: float) -> None:
-        """Drop all changes after the whole table was read at a version.
+        """Drop the kept changes; the whole table was read at `version`.
 
         Parameters
         ----------
@@ -95,9 +95,11 @@
         version: int,
         wait_ms: float,
     ) -> WireRows | None:
-        """Return the changes after a version, or None if they are not kept.
+        """Return the changes after a version.
 
-        If there are none yet, wait up to `wait_ms` for the next confirmation.
+        If there are none yet, wait up to `wait_ms`, but no longer than
+        `FEED_WAIT_MAX_MS`, for the next confirmation. Return None if some of
+        the changes are no longer kept or the table has not been read yet.
         The result has the age of the latest confirmation.
         """
         if version < self.kept_after_version or not self.version:
--- a/bergamotthread/platform/runner_calls.py
+++ b/bergamotthread/platform/runner_calls.py
@@ -99,7 +99,13 @@
         return f'{source.address}/{copied.name}'
 
     async def drop(self, source: Upstream, copy_id: str) -> None:
-        """Free a copy made by `copy`, at the source and at the target."""
+        """Free a copy made by `copy`, at the source and at the target.
+
+        Parameters
+        ----------
+        copy_id
+            Return value of `copy`.
+        """
         target = f'/api/kv-handle/{copy_id.rpartition("/")[2]}'.encode()
         try:
             await fetch(
@@ -116,7 +122,10 @@
             )
 
     async def cached_tokens(self, upstream: Upstream, part: bytes) -> int:
-        """Return the number of cached tokens of a prompt part; 0 if none."""
+        """Return the number of cached tokens of a prompt part.
+
+        The number is 0 if there are none or if they can't be read.
+        """
         try:
             fetched = await fetch(
                 self.pool,
--- a/bergamotthread/platform/settings.py
+++ b/bergamotthread/platform/settings.py
@@ -102,8 +102,8 @@
         Raises
         ------
         PlatformSettingsError
-            If the file is missing or a field has the wrong type; the error
-            names the file and the path of the field.
+            If the file can't be read or decoded; the error names the file
+            and, if a field has the wrong type, the path of the field.
         """
         try:
             return cls.from_json(path.read_bytes())
@@ -120,7 +120,7 @@
         Raises
         ------
         msgspec.MsgspecError
-            If a field is missing or has the wrong type.
+            If the JSON is invalid, or a field is missing or has the wrong type.
         """
         settings_file = msgspec.json.decode(encoded, type=_SettingsFile)
         bounds = settings_file.bounds
--- a/bergamotthread/platform/store.py
+++ b/bergamotthread/platform/store.py
@@ -18,7 +18,7 @@
 # Calls without a wait are answered within some milliseconds. While the store is
 # slow, this can take up to a hundred times as long.
 CALL_TIMEOUT_MS = 1200
-# A long poll is given up when its answer is this much later than its wait.
+# A long poll fails if there is no answer this long after the end of its wait.
 POLL_TIMEOUT_MARGIN_MS = 700
 # The same for a poll of another entry, which answers from memory.
 FOLLOW_TIMEOUT_MARGIN_MS = 200
@@ -33,7 +33,7 @@
 
 
 class StoreCallError(BergamotError):
-    """The store did not answer as expected."""
+    """The store, or an entry that relays it, did not answer as expected."""
 
 
 class HistoryLostError(StoreCallError):
@@ -154,12 +154,12 @@
         start, end
             First key, and the key to stop before; empty for no bound.
         limit
-            Maximum number of rows.
+            Maximum number of rows; None for no limit.
 
         Raises
         ------
         StoreCallError
-            If the store did not answer.
+            If the store did not answer as expected.
         """
         rows: list[StoredRow] = []
         version = 0
@@ -193,7 +193,7 @@
         PreconditionFailedError
             If the row has another version; nothing was written.
         StoreCallError
-            If the store did not answer; the change may have taken effect.
+            If the store did not confirm this; the change may have taken effect.
         """
         row = _row_reference(change.table, change.key)
         condition = {**row, 'ver': change.expected}
@@ -212,7 +212,7 @@
         PreconditionFailedError
             If the name is taken.
         StoreCallError
-            If the store did not answer; the object may be stored.
+            If the store did not confirm this; the object may be stored.
         """
         await self._call(
             self.address,
@@ -226,7 +226,13 @@
         )
 
     async def read_object(self, name: str) -> bytes | None:
-        """Return an object, or None if it does not exist."""
+        """Return an object, or None if it does not exist.
+
+        Raises
+        ------
+        StoreCallError
+            If the store did not answer as expected.
+        """
         request = FetchRequest(b'GET', _object_target('get', name))
         try:
             return await self._call(self.address, request, CALL_TIMEOUT_MS)
@@ -239,7 +245,7 @@
         Raises
         ------
         StoreCallError
-            If the store did not answer.
+            If the store did not answer as expected.
         """
         names: list[str] = []
         query = {'path_prefix': prefix}
@@ -271,7 +277,7 @@
         HistoryLostError
             If the store no longer keeps changes as old as `after`.
         StoreCallError
-            If the store did not answer.
+            If the store did not answer as expected.
         """
         page = await self._poll_feed(
             self.address,
@@ -300,8 +306,8 @@
         HistoryLostError
             If the entry does not keep changes as old as `after`.
         StoreCallError
-            If the entry did not answer, itself follows another entry, or its
-            changes were confirmed longer ago than `age_max_ms`.
+            If the entry did not answer as expected, itself follows another
+            entry, or its changes were confirmed longer ago than `age_max_ms`.
         """
         page = await self._poll_feed(
             peer,
@@ -323,7 +329,7 @@
         Raises
         ------
         StoreCallError
-            If the store did not confirm the write.
+            If the store did not confirm this; the row may be written.
         """
         row = _row_reference(table, key)
         await self._transact(puts=[{**row, 'value': _encode_payload(payload)}])
--- a/bergamotthread/platform/tables.py
+++ b/bergamotthread/platform/tables.py
@@ -36,7 +36,7 @@
     StoreLimits,
 )
 
-# Holds all rows of the product; the prefix of a key tells its kind.
+# Holds all rows of the product; the prefix of a key gives the row's kind.
 ROWS_TABLE = 'bergamotthread'
 # One row for each machine, keyed by address and kept by whoever starts the
 # machines.
@@ -52,15 +52,15 @@
         self._calls = calls
 
     async def read(self, key: str) -> Row | None:
-        """Return the row, or None where there is none."""
+        """Return the row, or None if there is none."""
         with _translate_errors():
-            rows_read = await self._calls.read_rows(
+            read = await self._calls.read_rows(
                 ROWS_TABLE,
                 key,
                 f'{key}\0',
                 1,
             )
-        rows = _rows(rows_read.rows)
+        rows = _rows(read.rows)
         return rows[0] if rows else None
 
     async def write(self, key: str, body: bytes, *, expected: int) -> Row:
@@ -110,7 +110,7 @@
                 raise
 
     async def get(self, name: str) -> bytes | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if there is none."""
         with _translate_errors():
             return await self._calls.read_object(name)
 
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -53,10 +53,10 @@
 FOLLOWER_EXTRA_WAIT_MS = 300
 REGISTER_RETRY_DELAY_MS = 3000
 # A row that is missing after an outage of the store may have lapsed during the
-# outage, although its runner lives. The users say that such rows are back
-# within two seconds of the store's return. The time counts from the last failed
-# call to the store and not from the removal of the row, so that an upstream
-# that is gone for good gets no work past the bound on drains.
+# outage, although its runner still works. The users say that such rows are back
+# within two seconds of the store's return. This period counts from the last
+# failed call to the store and not from the removal of the row, so that an
+# upstream that is gone for good gets no work past the bound on drains.
 LAPSED_ROW_GRACE_MS = 2500
 
 
@@ -76,9 +76,9 @@
     Attributes
     ----------
     wait_ms
-        Wait of one long poll.
+        Time for which a long poll waits for changes.
     interval_ms
-        Pause between polls.
+        Pause after a successful poll.
     age_max_ms
         An entry is followed only if the store confirmed its changes no longer
         ago than this.
@@ -131,7 +131,9 @@
         Parameters
         ----------
         requested_ms
-            Boot clock time at which the rows were requested.
+            Boot clock time at which the store was asked for the rows; for rows
+            relayed by another entry, the time of the confirmation that the
+            entry reports.
         """
 
     @abstractmethod
@@ -306,7 +308,11 @@
         self._removal_task: asyncio.Task[None] | None = None
 
     def apply_all(self, rows: Iterable[StoredRow]) -> None:
-        """Apply all rows; upstreams without a row have left."""
+        """Apply all rows.
+
+        Upstreams without a row are removed, after an outage of the store only
+        if the row does not return in time.
+        """
         rows = tuple(rows)
         listed = {row.key for row in rows if row.payload is not None}
         self.apply_changes(rows)
@@ -314,7 +320,11 @@
             self._handle_missing_row(instance)
 
     def apply_changes(self, rows: Iterable[StoredRow]) -> None:
-        """Apply changed rows; a removed row means that its upstream left."""
+        """Apply changed rows.
+
+        The upstream of a removed row is removed, after an outage of the store
+        only if the row does not return in time.
+        """
         for row in rows:
             if row.payload is None:
                 self._handle_missing_row(row.key)
@@ -322,7 +332,7 @@
                 self._update_upstream(row.key, row.payload)
 
     def record_confirmed(self, requested_ms: float) -> None:
-        """Do nothing; rows that do not return are dropped after a time."""
+        """Do nothing; the directory does not record confirmations."""
 
     def record_store_failure(self) -> None:
         """Record an outage, in which rows of live runners may lapse."""
@@ -418,11 +428,11 @@
                 self._is_registered = True
 
     def apply_all(self, rows: Iterable[StoredRow]) -> None:
-        """Apply all registrations."""
+        """Apply all registrations; entries without a row are kept."""
         self.apply_changes(rows)
 
     def apply_changes(self, rows: Iterable[StoredRow]) -> None:
-        """Apply changed registrations."""
+        """Apply changed registrations; remove entries without a valid row."""
         for row in rows:
             self._apply_row(row)
 
