--- a/bergamotthread/connection/address.py
+++ b/bergamotthread/connection/address.py
@@ -34,7 +34,8 @@
         Raises
         ------
         AddressError
-            If the host part is not an IP address or the port is out of range.
+            If the host part is not an IP address, or the port is missing or out
+            of range.
         """
         host, separator, port = text.rpartition(':')
         if not separator:
--- a/bergamotthread/connection/body_limit.py
+++ b/bergamotthread/connection/body_limit.py
@@ -152,7 +152,7 @@
         self._is_replayed = False
 
     async def replay(self) -> Message:
-        """Return the whole body as one message, then later messages."""
+        """Return the whole body on the first call, then later messages."""
         if self._is_replayed:
             return await self.receive()
         self._is_replayed = True
--- a/bergamotthread/connection/curve.py
+++ b/bergamotthread/connection/curve.py
@@ -34,7 +34,8 @@
     refused
         Number of refused connections.
     peer_ip
-        IP address of the peer being decided about, for log lines.
+        IP address of the peer that is being checked, for log lines; empty if
+        it is unknown.
     """
 
     accepted: frozenset[str]
@@ -58,7 +59,7 @@
         return False
 
     def refuse(self, reason: str) -> None:
-        """Count a refused peer; log each reason once per interval."""
+        """Count a refused peer; log its reason unless logged recently."""
         self.refused += 1
         now_ms = self.clock.now_ms()
         logged_ms = self.logged_ms_by_reason.get(reason)
--- a/bergamotthread/connection/engine_client.py
+++ b/bergamotthread/connection/engine_client.py
@@ -75,4 +75,9 @@
         -------
         bool
             Whether the engine accepted the order.
+
+        Raises
+        ------
+        EngineLostError
+            If the engine does not answer.
         """
--- a/bergamotthread/connection/http/caller_connection.py
+++ b/bergamotthread/connection/http/caller_connection.py
@@ -39,7 +39,9 @@
     Parameters
     ----------
     header_timeout_ms
-        Time from the first byte of a request to its end.
+        Time from the first byte of a request to its end. A request that
+        begins while an earlier one is being answered has `idle_timeout_ms`
+        from the end of that answer instead.
     idle_timeout_ms
         Time that a connection stays open without a request.
     """
@@ -218,7 +220,7 @@
         self._count_header_bytes(len(name) + len(payload))
 
     def on_headers_complete(self) -> None:
-        """Check the head before the body is read."""
+        """Check the head; send `100 Continue` if the caller expects it."""
         headers = dict(self._headers)
         expectation = headers.get(b'expect', b'').lower()
         hosts = [name for name, _ in self._headers if name == b'host']
@@ -260,7 +262,7 @@
         return self._task is None and not self._in_message
 
     def connection_headers(self) -> list[Header]:
-        """Return the header fields of an answer about the connection."""
+        """Return `connection: close` if this answer is the last one."""
         if self._server.is_draining:
             self._closes_after_answer = True
         if self._closes_after_answer:
@@ -303,7 +305,10 @@
             self._stop_parser(431)
 
     def _stop_parser(self, status: int) -> None:
-        """Stop the parser; the status is sent after earlier answers."""
+        """Stop the parser by an exception.
+
+        The status is sent after the answers to earlier requests.
+        """
         self._bad_status = self._bad_status or status
         raise ValueError(f'request refused with {status}')
 
--- a/bergamotthread/connection/http/fetch.py
+++ b/bergamotthread/connection/http/fetch.py
@@ -53,7 +53,8 @@
     Raises
     ------
     ConnectionError
-        If no complete answer arrives in time.
+        If the connection can't be opened or no complete answer arrives in
+        time.
     """
     connection = await pool.acquire(address)
     host = (b'host', address.encode())
--- a/bergamotthread/connection/http/messages.py
+++ b/bergamotthread/connection/http/messages.py
@@ -137,7 +137,10 @@
     headers: Iterable[Header],
     body: bytes,
 ) -> bytes:
-    """Encode a request, with `content-length` if it has a body."""
+    """Encode a request.
+
+    `content-length` is left out only for GET, HEAD and DELETE without a body.
+    """
     parts = [method, b' ', target, b' HTTP/1.1\r\n']
     _add_headers(parts, headers)
     if body or method not in {b'GET', b'HEAD', b'DELETE'}:
--- a/bergamotthread/connection/http/upstream_connection.py
+++ b/bergamotthread/connection/http/upstream_connection.py
@@ -2,7 +2,8 @@
 
 One request is sent at a time. Bytes after the complete answer make the
 connection unusable for another request. An answer that echoes the identifier
-of another request is skipped.
+of another request is skipped, or breaks the connection if only the close marks
+its end.
 """
 
 from __future__ import annotations
@@ -176,7 +177,7 @@
         )
 
     def close(self) -> None:
-        """Abort the connection; the upstream notices that the caller left."""
+        """Abort the connection; the upstream sees that the caller has left."""
         self._is_waiting = False
         if self._transport is not None:
             self._transport.abort()
--- a/bergamotthread/connection/http/upstream_pool.py
+++ b/bergamotthread/connection/http/upstream_pool.py
@@ -55,17 +55,18 @@
         address: str,
         idle_max_ms: float = IDLE_MAX_MS,
     ) -> UpstreamConnection:
-        """Return an idle connection, or open a new one.
+        """Return the idle connection released last, or open a new one.
 
         Parameters
         ----------
         idle_max_ms
-            Maximum idle time of a connection to be used again.
+            Maximum idle time of a connection that is used again; less if the
+            upstream announces a shorter idle timeout.
 
         Raises
         ------
         ConnectFailedError
-            If the upstream did not accept a connection in time.
+            If the connection could not be opened in time.
         """
         idle = self._idle_by_address.get(address)
         while idle:
@@ -96,7 +97,7 @@
             self.close_address(address)
 
     def close_stale(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close idle connections that are too old or no longer reusable."""
         for address, idle in list(self._idle_by_address.items()):
             kept = deque(
                 connection
--- a/bergamotthread/connection/http_engine.py
+++ b/bergamotthread/connection/http_engine.py
@@ -81,7 +81,7 @@
             raise self._lost_error(error) from error
 
     async def order(self, action: str, pin: Pin, fence: int) -> bool:
-        """Send an order; an engine that refuses it answers 409."""
+        """Send an order; return whether the engine answered 200."""
         order = msgspec.json.encode(OrderRequest(action, pin, fence))
         try:
             response = await self._client.post(
--- a/bergamotthread/connection/http_server.py
+++ b/bergamotthread/connection/http_server.py
@@ -47,6 +47,6 @@
         await self._task
 
     async def abort(self) -> None:
-        """Stop listening and cut open connections."""
+        """Stop listening without waiting for open requests."""
         self.force_exit = True
         await self.stop()
--- a/bergamotthread/connection/outgoing.py
+++ b/bergamotthread/connection/outgoing.py
@@ -27,8 +27,9 @@
     """Connects to one peer and queues messages for it.
 
     ZeroMQ does not reconnect after a failed handshake, so this class does,
-    with the next accepted server key and after a delay that doubles each time.
-    Messages that were queued for the failed handshake are lost.
+    with the next accepted server key and after a delay that doubles each time,
+    up to `RECONNECT_DELAY_MAX_MS`. Messages that were queued for the failed
+    handshake are lost.
     """
 
     def __init__(
--- a/bergamotthread/connection/zmq_transport.py
+++ b/bergamotthread/connection/zmq_transport.py
@@ -52,7 +52,7 @@
     undecodable
         Received messages that could not be decoded.
     dropped
-        Messages that could not be queued.
+        Messages to send that could not be queued.
     """
 
     sent: int = 0
@@ -74,8 +74,11 @@
 class ZmqTransport(Transport):
     """Exchanges messages with peers over TCP; needs a running event loop.
 
-    A message is dropped and counted if the queue of its peer is full.
-    Messages queued for an unreachable peer are sent once it is back.
+    A message is dropped and counted if it cannot be queued, because the queue
+    of its peer is full or the address is invalid.
+    Messages queued for an unreachable peer are sent once it is back; they are
+    dropped if a handshake fails or nothing was sent to the peer for
+    `IDLE_TIMEOUT_MS`.
     """
 
     def __init__(
