--- a/bergamotthread/platform/relayed_feed.py
+++ b/bergamotthread/platform/relayed_feed.py
@@ -141,7 +141,11 @@
     is_draining: bool = False
 
     async def answer(self, exchange: Exchange) -> None:
-        """Answer one feed call."""
+        """Answer one feed call.
+
+        The status is 404 if the path or the table is unknown or the version
+        is not a number, and 410 if `TableHistory.changes_after` returns None.
+        """
         path, _, query = exchange.request.target.partition(b'?')
         fields = dict(parse_qsl(query.decode('latin-1')))
         history = self.history_by_table.get(fields.get('table', ''))
--- a/bergamotthread/platform/store.py
+++ b/bergamotthread/platform/store.py
@@ -37,7 +37,11 @@
 
 
 class HistoryLostError(StoreCallError):
-    """The requested changes are no longer kept; read the whole table."""
+    """The requested changes are no longer kept.
+
+    If the store raises this, the whole table must be read again; if another
+    entry does, the changes are read from the store instead.
+    """
 
 
 class PreconditionFailedError(StoreCallError):
@@ -58,7 +62,7 @@
 
 
 class WireRows(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer to a read or to a feed call.
+    """Answer to a read, a feed call or a transaction.
 
     An entry that relays rows adds how long ago the store confirmed them, and
     whether the entry read them from the store itself.
--- a/bergamotthread/platform/watches.py
+++ b/bergamotthread/platform/watches.py
@@ -447,7 +447,7 @@
             entry_row = msgspec.json.decode(row.payload or b'', type=_EntryRow)
         except msgspec.MsgspecError as error:
             logging.debug(
-                'row of entry %s is invalid; entry removed: %s',
+                'row of entry %s is missing or invalid; entry removed: %s',
                 row.key,
                 error,
             )
