--- a/bergamotthread/connection/http/fetch.py
+++ b/bergamotthread/connection/http/fetch.py
@@ -77,14 +77,14 @@
 ) -> FetchResponse:
     status = 0
     body: list[bytes] = []
-    arrived: AnswerItem | None = None
-    while not isinstance(arrived, AnswerEnd):
-        arrived = await connection.receive(timeout_ms)
-        match arrived:
+    answer_item: AnswerItem | None = None
+    while not isinstance(answer_item, AnswerEnd):
+        answer_item = await connection.receive(timeout_ms)
+        match answer_item:
             case AnswerHead(answer_status):
                 status = answer_status
             case AnswerPart(part):
                 body.append(part)
             case AnswerLost() | None:
-                raise ConnectionError(f'{connection.address}: {arrived}')
+                raise ConnectionError(f'{connection.address}: {answer_item}')
     return FetchResponse(status, b''.join(body))
--- a/bergamotthread/connection/http/upstream_connection.py
+++ b/bergamotthread/connection/http/upstream_connection.py
@@ -208,20 +208,20 @@
             self._waiter = None
 
     def _next_item(self) -> AnswerItem:
-        arrived = self._pending_items.popleft()
-        if isinstance(arrived, AnswerPart):
+        answer_item = self._pending_items.popleft()
+        if isinstance(answer_item, AnswerPart):
             was_full = self._buffered > BUFFERED_BYTES_MAX
-            self._buffered -= len(arrived.payload)
+            self._buffered -= len(answer_item.payload)
             if was_full and self._buffered <= BUFFERED_BYTES_MAX:
                 self._resume_reading()
-        return arrived
+        return answer_item
 
     def _resume_reading(self) -> None:
         if self.is_open and self._transport is not None:
             self._transport.resume_reading()
 
-    def _queue_item(self, arrived: AnswerItem) -> None:
-        self._pending_items.append(arrived)
+    def _queue_item(self, answer_item: AnswerItem) -> None:
+        self._pending_items.append(answer_item)
         self._wake()
 
     def _wake(self) -> None:
