--- a/bergamotthread/version/acceptance.py
+++ b/bergamotthread/version/acceptance.py
@@ -67,10 +67,10 @@
 class AcceptanceWatch:
     """Waits until no process may admit requests under an older version.
 
-    Processes without an outage lease need no tracking: their version lease
-    expires within `lease_expiry_ms` unless they have the version. A process
-    with a longer lease is registered; the watch waits until its row names the
-    version or its lease has expired.
+    Processes without an outage lease need no tracking: unless they have the
+    version, their lease expires within `lease_expiry_ms(0)`. A process with an
+    outage lease is registered; the watch waits until its row names the version
+    or its lease has expired.
     """
 
     table: Table
--- a/bergamotthread/version/archive.py
+++ b/bergamotthread/version/archive.py
@@ -42,10 +42,15 @@
 
         Parameters
         ----------
-        held
+        start_state
             State to start from; the row's snapshot is used instead if the
             state is empty or more than `MAX_REPLAYED_PUBLICATIONS` versions
-            old.
+            older than the row.
+
+        Raises
+        ------
+        MissingObjectError
+            If an object that the row or a publication refers to is missing.
         """
         if start_state.version == row.version:
             return start_state
@@ -63,7 +68,7 @@
         Raises
         ------
         MissingObjectError
-            If the version does not exist.
+            If the version or one of its objects does not exist.
         """
         if not 0 < version <= row.version:
             raise MissingObjectError(
--- a/bergamotthread/version/checks.py
+++ b/bergamotthread/version/checks.py
@@ -83,8 +83,8 @@
     Raises
     ------
     ObjectsError
-        If the bytes do not decode, with the JSON path, the offending value
-        and what was expected.
+        If the bytes exceed `MAX_SET_BYTES` or do not decode, with the JSON
+        path, the offending value and what was expected.
     """
     if len(encoded) > MAX_SET_BYTES:
         expected = f'expected at most {MAX_SET_BYTES} bytes'
--- a/bergamotthread/version/distribution.py
+++ b/bergamotthread/version/distribution.py
@@ -72,8 +72,9 @@
     ----------
     table, object_store
         None if the process has no access to the platform, such as an agent.
-        It asks its peers less often and relies on their notifications, so its
-        lease expires: it follows the version but admits no requests by it.
+        Once it has a version, it asks its peers less often and relies on their
+        notifications, so its lease expires: it follows the version but admits
+        no requests by it.
     peers
         Returns the addresses to ask: those in the same region if there are
         any.
@@ -180,7 +181,11 @@
                 self.on_version_reported(peer, version)
 
     def on_version_reported(self, peer: str, version: int) -> None:
-        """Ask a peer for its version if that is newer than the one held."""
+        """Ask a peer for its version if that is newer than the one held.
+
+        At most one such request is sent in each
+        `REPORTED_VERSION_REQUEST_INTERVAL_MS`.
+        """
         now_ms = self._clock.now_ms()
         if version > self.version and now_ms >= self._next_version_request_ms:
             self._next_version_request_ms = (
@@ -365,7 +370,10 @@
         state: VersionState,
         publications: tuple[Publication, ...],
     ) -> None:
-        """Put a newer version in force and send it to peers that ask here."""
+        """Put a newer version in force and send it to peers that asked for it.
+
+        A version that is not newer is ignored.
+        """
         old_version = self.version
         if state.version <= old_version:
             return
--- a/bergamotthread/version/faults.py
+++ b/bergamotthread/version/faults.py
@@ -51,7 +51,7 @@
     low: float,
     high: float = math.inf,
 ) -> Iterator[Fault]:
-    """Yield a fault if a number is outside a closed range."""
+    """Yield a fault if a number is not finite or outside a closed range."""
     if not low <= number <= high or not math.isfinite(number):
         yield Fault(path, number, f'expected a number from {low} to {high}')
 
--- a/bergamotthread/version/lease.py
+++ b/bergamotthread/version/lease.py
@@ -26,7 +26,8 @@
         Time at which the table acknowledged the registration of the version
         in force; infinite if it has not.
     outage_lease_ms
-        Length of the lease once a proof is later than the registration.
+        Length of the lease once a proof is later than the registration, if
+        longer than `VERSION_LEASE_MS`.
     """
 
     proven_ms: float = -math.inf
@@ -53,13 +54,18 @@
         return VERSION_LEASE_MS
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return the remaining time, negative if the lease has expired."""
+        """Return the remaining time, 0 or less if the lease has expired."""
         return self.proven_ms + self.length_ms() - now_ms
 
 
 def lease_expiry_ms(lease_ms: float) -> float:
-    """Return the time after which another process's lease has expired.
+    """Return how long to wait until another process's lease has expired.
 
     The rates of two processes' clocks may differ by `CLOCK_DRIFT_RATIO`.
+
+    Parameters
+    ----------
+    lease_ms
+        Outage lease of the other process, 0 if it has none.
     """
     return max(lease_ms, VERSION_LEASE_MS) * (1 + CLOCK_DRIFT_RATIO)
--- a/bergamotthread/version/publication.py
+++ b/bergamotthread/version/publication.py
@@ -82,7 +82,10 @@
 
 @dataclass(frozen=True)
 class NewestVersion:
-    """Newest version row, its revision, and the state of that version."""
+    """Newest version row, its revision, and the state of that version.
+
+    `row` is None if nothing is published.
+    """
 
     row: VersionRow | None
     revision: int
@@ -143,12 +146,15 @@
         ObjectsError
             If the set is not valid.
         PublicationConflictError
-            If another version was published after `draft.base`.
+            If another version was published after `draft.base`, and the draft
+            is not to be rebased or changes an object that was changed since.
+        BergamotError
+            If `draft.base` is newer than the newest version.
         PublicationUnknownError
             If the store did not answer the write, so that its outcome is
             unknown; `status` shows it later.
         StoreUnavailableError
-            If the store did not answer and nothing was written.
+            If the store did not answer and no version was published.
         """
         check_object_set(draft.object_set)
         newest = await self.newest()
@@ -352,7 +358,7 @@
 
 
 def describe_publication(publication: Publication) -> str:
-    """Return version, publisher and changed objects as one line."""
+    """Return version, publisher, note and changed objects as one line."""
     names = sorted(publication.changes.names())
     changed = ', '.join(str(name) for name in names[:MAX_SHOWN_OBJECTS])
     hidden = len(names) - MAX_SHOWN_OBJECTS
--- a/bergamotthread/version/publication_write.py
+++ b/bergamotthread/version/publication_write.py
@@ -130,7 +130,10 @@
         return row.revision
 
     async def _resolve_conflict(self) -> int | None:
-        """Return the revision if the row's history has this publication."""
+        """Return the revision if the row's history has this publication.
+
+        Return None if it does not.
+        """
         found = await self._table.read(VERSION_KEY)
         if found is not None:
             newest = decode_record(found.body, VersionRow)
--- a/bergamotthread/version/registration.py
+++ b/bergamotthread/version/registration.py
@@ -75,7 +75,8 @@
         StoreUnavailableError
             If the table did not answer.
         StoreConflictError
-            If the row was changed by others before each of two writes.
+            If the row was changed by others before each of two writes, or a
+            row of an earlier incarnation was changed before its deletion.
         """
         holder = HolderRow(
             self._place.address,
@@ -141,7 +142,7 @@
     DecodeError
         If a row is not a holder row.
     BergamotError
-        If there are too many rows to read all of them.
+        If there are `MAX_HOLDERS` rows or more, so that some may be missing.
     """
     prefix = _key_prefix(address) if address else HOLDER_PREFIX
     rows = await table.scan(prefix, limit=MAX_HOLDERS)
@@ -162,10 +163,10 @@
     int
         Number of deleted rows.
     """
-    stored = await read_holders(table, address)
-    for holder in stored:
-        await table.delete(holder.key, expected=holder.revision)
-    return len(stored)
+    holders = await read_holders(table, address)
+    for stored in holders:
+        await table.delete(stored.key, expected=stored.revision)
+    return len(holders)
 
 
 def _key_prefix(address: str) -> str:
--- a/bergamotthread/version/relay.py
+++ b/bergamotthread/version/relay.py
@@ -34,7 +34,11 @@
         self._requested_ms_by_address: dict[str, float] = {}
 
     def add_watcher(self, peer: str) -> None:
-        """Send new versions to a peer that asked just now."""
+        """Send new versions to a peer for `WATCHER_TIMEOUT_MS` from now on.
+
+        If there are more than `MAX_WATCHERS` peers, the one that asked least
+        recently is removed.
+        """
         self._requested_ms_by_address.pop(peer, None)
         self._requested_ms_by_address[peer] = self._clock.now_ms()
         if len(self._requested_ms_by_address) > MAX_WATCHERS:
@@ -60,9 +64,11 @@
         self._notify_watchers(old_version)
 
     def bundle_since(self, version: int) -> bytes:
-        """Return the bundle of publications after `version` or the whole set.
+        """Return a bundle that leads from `version` to the newest version.
 
-        Empty if nothing follows, or if the set is too large to send.
+        It has the publications after `version`, or the whole set if `version`
+        is 0 or not all of them are known. It is empty if nothing follows, or if
+        the set is too large to send.
         """
         if version >= self._state.version:
             return b''
@@ -89,11 +95,11 @@
             self._recent.clear()
 
     def _notify_watchers(self, before: int) -> None:
-        oldest_ms = self._clock.now_ms() - WATCHER_TIMEOUT_MS
+        min_requested_ms = self._clock.now_ms() - WATCHER_TIMEOUT_MS
         document = self.bundle_since(before) if before else b''
         notice = ConfigNotice(self._state.version, document)
-        for address, watched_ms in self._requested_ms_by_address.items():
-            if watched_ms >= oldest_ms:
+        for address, requested_ms in self._requested_ms_by_address.items():
+            if requested_ms >= min_requested_ms:
                 self._transport.send(address, notice)
 
 
