--- a/bergamotthread/request/call_agents.py
+++ b/bergamotthread/request/call_agents.py
@@ -80,9 +80,9 @@
     async def send(self, action: Send, remaining_ms: float) -> Event:
         """Send the call once and wait for its outcome.
 
-        If there is no outcome within the service's timeout, or `ask_ms` before
-        the caller's deadline, the ticket is revoked, which also asks the agent
-        for the outcome.
+        If there is no outcome within the service's timeout, or
+        `limits.outcome_timeout_ms` before the caller's deadline, the ticket is
+        revoked, which also asks the agent for the outcome.
         """
         mailbox = self.open_mailbox(action.sending)
         self.transport.send(action.sending.agent, self._build_dispatch(action))
@@ -118,7 +118,10 @@
         return NoOutcome('no answer from the agent')
 
     async def wait_late_reply(self, wait_ms: float) -> Event | None:
-        """Wait for a late answer to a call whose outcome is unknown."""
+        """Wait for a late answer to a call whose outcome is unknown.
+
+        Wait up to `wait_ms` for each sending; return None if none is answered.
+        """
         for sending, mailbox in self._mailbox_by_sending.items():
             event = await self._wait_outcome(mailbox, sending, wait_ms)
             if isinstance(event, Replied):
--- a/bergamotthread/request/call_events.py
+++ b/bergamotthread/request/call_events.py
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True)
 class Found:
-    """The row that was read; `is_lease_expired` if its lease is over."""
+    """The row that was read, or None if there is none.
+
+    `is_lease_expired` is also true for a row without a lease.
+    """
 
     stored: Stored | None
     is_lease_expired: bool = False
--- a/bergamotthread/request/call_moves.py
+++ b/bergamotthread/request/call_moves.py
@@ -113,30 +113,34 @@
     progress: Progress, sending: Sending, now_ms: int
 ) -> Transition:
     """Write the reserved row as dispatched."""
-    known = progress.last_stored
-    if known is None:
+    last_stored = progress.last_stored
+    if last_stored is None:
         raise AssertionError('a call is dispatched without a reserved row')
-    pending = dispatch(known.row, progress.claim, sending, now_ms)
+    pending = dispatch(last_stored.row, progress.claim, sending, now_ms)
     dispatching = replace(
         progress,
         phase=Phase.DISPATCHING,
         pending=pending,
     )
-    return dispatching, (Write(pending, known.revision),)
+    return dispatching, (Write(pending, last_stored.revision),)
 
 
 def verify_dispatched(
     progress: Progress, found: Found, now_ms: int
 ) -> Transition:
-    """Send the call only if the row read was dispatched by this request."""
+    """Send the call only if the row read was dispatched by this request.
+
+    The write is repeated if the row is unchanged. Otherwise the row is handled
+    as one that another request may hold.
+    """
     stored = found.stored
-    known = progress.last_stored
+    last_stored = progress.last_stored
     if stored is not None and is_pending(progress, stored):
         return send_call(progress, stored)
-    if known is None or progress.pending is None or stored != known:
+    if last_stored is None or progress.pending is None or stored != last_stored:
         return handle_row(replace(progress, pending=None), found, now_ms)
     dispatching = replace(progress, phase=Phase.DISPATCHING)
-    return dispatching, (Write(progress.pending, known.revision),)
+    return dispatching, (Write(progress.pending, last_stored.revision),)
 
 
 def send_call(progress: Progress, stored: Stored) -> Transition:
@@ -154,7 +158,7 @@
     target_state: State,
     now_ms: int,
 ) -> Transition:
-    """Answer the caller and move the row to the state `target_state`."""
+    """Move the row to `target_state`, and answer the caller if not yet done."""
     settling, actions = settle_row(
         replace(progress, target_state=target_state, answered=True),
         progress.last_stored,
@@ -167,8 +171,8 @@
 
 def record_unknown(progress: Progress, reason: str, now_ms: int) -> Transition:
     """Answer that the outcome is unknown, and record it in the row."""
-    known = progress.last_stored
-    sending = open_sending(known.row) if known else None
+    last_stored = progress.last_stored
+    sending = open_sending(last_stored.row) if last_stored else None
     if sending is None:
         return give_answer(progress, Verdict.UNKNOWN, None)
     return finish(
@@ -183,19 +187,21 @@
     progress: Progress, event: Event, now_ms: int
 ) -> Transition:
     """Handle an agent's reply about another request's sending."""
-    known = progress.last_stored
-    sending = open_sending(known.row) if known else None
-    if known is None or sending is None:
+    last_stored = progress.last_stored
+    sending = open_sending(last_stored.row) if last_stored else None
+    if last_stored is None or sending is None:
         raise AssertionError('an outcome arrived for a row without a sending')
     match event:
         case Replied(done=done):
             return finish(progress, Verdict.RAN, done, now_ms)
         case NeverSent(reason=reason):
-            goal = Refused(sending.owner, reason)
-            cleared = settle(known.row, goal, progress.claim.owner, now_ms)
+            refused = Refused(sending.owner, reason)
+            cleared = settle(
+                last_stored.row, refused, progress.claim.owner, now_ms
+            )
             if cleared is not None:
                 clearing = replace(progress, phase=Phase.CLEARING)
-                return clearing, (Write(cleared, known.revision),)
+                return clearing, (Write(cleared, last_stored.revision),)
     return record_unknown(progress, 'no outcome from the agent', now_ms)
 
 
@@ -227,15 +233,19 @@
 
 def release(progress: Progress, reason: str, now_ms: int) -> Transition:
     """Write the row as refused; once confirmed, refuse the request."""
-    known = progress.last_stored
-    goal = Refused(progress.claim.owner, reason)
-    row = settle(known.row, goal, goal.owner, now_ms) if known else None
-    if known is None or row is None:
+    last_stored = progress.last_stored
+    refused = Refused(progress.claim.owner, reason)
+    row = (
+        settle(last_stored.row, refused, refused.owner, now_ms)
+        if last_stored
+        else None
+    )
+    if last_stored is None or row is None:
         raise AssertionError(
             'a row is released that this request does not hold'
         )
     return write_release(
-        replace(progress, target_state=goal, pending=row), known
+        replace(progress, target_state=refused, pending=row), last_stored
     )
 
 
@@ -250,7 +260,10 @@
 def give_up(
     progress: Progress, may_have_lost_lease: bool, now_ms: int
 ) -> Transition:
-    """Answer at once, with what is certain in the current phase."""
+    """Answer at once with the verdict that is certain in the current phase.
+
+    Only end in phases that come after the answer.
+    """
     match progress.phase:
         case Phase.CHOOSING | Phase.DISPATCHING | Phase.VERIFYING:
             return _withdraw(progress, may_have_lost_lease)
@@ -274,14 +287,14 @@
     the call certainly did not run; later, another request may have run it.
     """
     verdict = Verdict.UNCERTAIN if may_have_lost_lease else Verdict.NOT_RUN
-    goal = Refused(progress.claim.owner, 'withdrawn before sending')
+    refused = Refused(progress.claim.owner, 'withdrawn before sending')
     checking = replace(
         progress,
         phase=Phase.CHECKING,
-        target_state=goal,
+        target_state=refused,
         answered=True,
     )
-    return checking, (Answer(verdict, goal), Read())
+    return checking, (Answer(verdict, refused), Read())
 
 
 def _verdict_without_row(progress: Progress) -> Verdict:
@@ -295,7 +308,7 @@
     verdict: Verdict,
     row_state: State | None,
 ) -> Transition:
-    """Give the final answer and end."""
+    """Give the final answer, unless it was given before, and end."""
     ended = replace(progress, phase=Phase.ENDED, answered=True)
     if progress.answered:
         return ended, ()
--- a/bergamotthread/request/call_protocol.py
+++ b/bergamotthread/request/call_protocol.py
@@ -2,8 +2,9 @@
 
 `advance` takes the progress of a request and an event, and returns the next
 progress and the actions to carry out. It is pure: `GuardedCall` drives it with
-a table and messages, and the exhaustive search in the tests with every order of
-faults. Exactly one action other than `Answer` is in progress at a time.
+a table and messages, and the exhaustive search in the tests drives it with
+every order of faults. At most one action other than `Answer` is in progress at
+a time.
 """
 
 from __future__ import annotations
@@ -65,7 +66,7 @@
     progress
         Progress of the request.
     event
-        What happened; ignored if the current phase does not expect it.
+        Event that occurred; ignored if the current phase does not expect it.
     now_ms
         Calendar time for the rows to be written.
     """
--- a/bergamotthread/request/call_row.py
+++ b/bergamotthread/request/call_row.py
@@ -4,6 +4,8 @@
 
     reserved -> dispatched -> done | unknown
     reserved -> refused
+    refused -> reserved
+    reserved -> reserved, by another request once the lease has expired
     unknown -> done | resolved
     dispatched | unknown -> refused, if the upstream's agent has confirmed
     that it never sent the call and never will
@@ -49,7 +51,7 @@
 
 
 class Dispatched(_State, frozen=True, array_like=True, tag=True):
-    """The call may have been sent, with the owner and agent in `sending`."""
+    """The call may have been sent, by the owner and agent in `sending`."""
 
     sending: Sending
     lease_until_ms: int
@@ -58,7 +60,8 @@
 class Done(_State, frozen=True, array_like=True, tag=True):
     """The call has run; its answer is inline or in the object `stored_as`.
 
-    `omitted` is true if the answer was too large to be stored.
+    `omitted` is true if the answer was not stored, because it was too large or
+    exceeded the budget for answers held in memory.
     """
 
     sending: Sending
@@ -77,7 +80,7 @@
 
 
 class Refused(_State, frozen=True, array_like=True, tag=True):
-    """No sending of this key has reached an upstream, nor ever will."""
+    """No earlier sending of this key has reached an upstream or ever will."""
 
     owner: str
     reason: str = ''
@@ -100,7 +103,7 @@
     Parameters
     ----------
     fingerprint
-        Digest of method, path and body; a key is valid for one of them only.
+        Digest of method, path and body; a key belongs to one digest only.
     fence
         Fencing token; increases with each reservation.
     write_id
@@ -131,7 +134,8 @@
     fingerprint
         Digest of method, path and body.
     lease_ms
-        Time for which other requests leave a reservation or dispatch alone.
+        Time for which other requests do not take over a reserved or dispatched
+        row.
     lifetime_ms
         Key lifetime of the service.
     first_send
@@ -249,7 +253,7 @@
     row
         Row as last read.
     target_state
-        Done, unknown or refused, for the sending or owner that it contains.
+        Done or unknown with the row's sending, or refused with its owner.
     owner
         Request that writes the row.
     now_ms
--- a/bergamotthread/request/call_store.py
+++ b/bergamotthread/request/call_store.py
@@ -32,7 +32,7 @@
 
 @dataclass
 class _Backoff:
-    """Exponential backoff while accesses fail, for at most `limit_ms`."""
+    """Exponential backoff while accesses fail, for at most `max_failure_ms`."""
 
     clock: Clock
     rng: random.Random
@@ -87,9 +87,9 @@
     _polls: int = 0
 
     def __post_init__(self) -> None:
-        limit_ms = self.limits.store_timeout_ms
-        self._reads = _Backoff(self.clock, self.rng, limit_ms)
-        self._writes = _Backoff(self.clock, self.rng, limit_ms)
+        max_failure_ms = self.limits.store_timeout_ms
+        self._reads = _Backoff(self.clock, self.rng, max_failure_ms)
+        self._writes = _Backoff(self.clock, self.rng, max_failure_ms)
 
     def set_max_failure(self, limit_ms: float) -> None:
         """Set how long the store may fail before an access is given up."""
@@ -99,6 +99,9 @@
     async def write(self, action: Write) -> Written | NotWritten:
         """Write the row, after the objects and rows that it depends on.
 
+        Return `NotWritten` on a conflict, or after a pause if the store did not
+        answer.
+
         Raises
         ------
         StoreUnavailableError
@@ -130,7 +133,10 @@
                 await self._reads.back_off(error)
 
     async def poll(self) -> Found:
-        """Read the row after a pause that doubles with each poll."""
+        """Read the row after a pause that doubles with each poll.
+
+        The pause is at most `limits.poll_interval_max_ms`.
+        """
         doublings = min(self._polls, _MAX_DOUBLINGS)
         self._polls += 1
         grown_ms = self.limits.poll_interval_ms * _BACKOFF_FACTOR**doublings
@@ -140,7 +146,7 @@
         return await self.read()
 
     async def read_body(self, done: Done) -> bytes | None:
-        """Return the body of an answer, or None if it was not stored."""
+        """Return the body of an answer, or None if it is not held or stored."""
         held = self.bodies.get(result_name(done.sending))
         if held is not None:
             return held
@@ -153,8 +159,8 @@
         if row is None:
             return Found(None)
         call_row = decode_row(row.body)
-        lapsed = self.clock.calendar_ms() > lease_until_ms(call_row)
-        return Found(Stored(call_row, row.revision), lapsed)
+        is_lease_expired = self.clock.calendar_ms() > lease_until_ms(call_row)
+        return Found(Stored(call_row, row.revision), is_lease_expired)
 
     async def _write(self, action: Write) -> Written:
         await self._write_dependencies(action.row)
--- a/bergamotthread/request/completion.py
+++ b/bergamotthread/request/completion.py
@@ -68,7 +68,7 @@
     Raises
     ------
     RefusedError
-        If the body is not a valid request; the detail names the JSON path.
+        If the body is not a valid request or `max_tokens` is out of range.
     """
     try:
         request = _decoder.decode(body)
--- a/bergamotthread/request/completion_stream.py
+++ b/bergamotthread/request/completion_stream.py
@@ -57,9 +57,9 @@
     async def events(self) -> AsyncIterator[bytes]:
         """Yield events until the end of the answer.
 
-        The last event carries the finish reason and the token count; an
-        answer that can't be continued ends with an `error` event instead, whose
-        data is the refusal as problem JSON.
+        The last chunk carries the finish reason and the token count, and is
+        followed by `[DONE]`. An answer that can't be continued ends with an
+        `error` event instead, whose data is the refusal as problem JSON.
         """
         generation = self._live.generation
         while True:
--- a/bergamotthread/request/generation.py
+++ b/bergamotthread/request/generation.py
@@ -1,7 +1,8 @@
 """One generation: the accepted output of all its attempts.
 
 The output is extended only by frames of the current attempt, from the agent
-that runs it, at the next offset. All other frames are counted and dropped, so
+that runs it, that begin at or before the next offset; tokens before that offset
+are skipped. All other frames are counted and dropped, so
 that no token is missing or repeated and generations are never mixed.
 """
 
@@ -163,7 +164,13 @@
         self.place = AttemptPlace(self.place.number, '')
 
     def restore(self, tokens: tuple[str, ...]) -> None:
-        """Replace the output with the caller's tokens, between attempts."""
+        """Replace the output with the caller's tokens, between attempts.
+
+        Raises
+        ------
+        BergamotError
+            If the generation is not interrupted.
+        """
         if self.state != GenerationState.INTERRUPTED:
             raise BergamotError(
                 f'restore in state {self.state}, expected interrupted',
@@ -197,7 +204,7 @@
     def accept(
         self, frame: Frame, agent: str, incarnation: int
     ) -> FrameVerdict:
-        """Append the new part of a frame to the output."""
+        """Append the new tokens of a frame to the output, or drop the frame."""
         if self.is_over:
             return FrameVerdict.STALE
         if not self.is_current(agent, incarnation, frame.attempt):
--- a/bergamotthread/request/guarded_call.py
+++ b/bergamotthread/request/guarded_call.py
@@ -64,7 +64,8 @@
     clock, limits
         Source of time and limits.
     answer
-        The caller's final answer, set long before `run` ends.
+        The caller's final answer, or a `RefusedError`. It may be set long
+        before `run` ends, which also settles the row and awaits late answers.
     """
 
     request: CallRequest
--- a/bergamotthread/request/held_bodies.py
+++ b/bergamotthread/request/held_bodies.py
@@ -31,8 +31,8 @@
     def hold(self, name: str, body: bytes) -> bool:
         """Hold an answer until the end of the call.
 
-        Returns False if it exceeds the budget; the caller must then remove the
-        answer by `remove` as soon as it has been delivered.
+        Return False if it exceeds the budget; it is held nevertheless, and must
+        be removed by `remove` as soon as it has been delivered.
         """
         if name in self.by_name:
             return True
--- a/bergamotthread/request/output_buffer.py
+++ b/bergamotthread/request/output_buffer.py
@@ -11,8 +11,8 @@
 class OutputBuffer:
     """Tokens of one attempt from offset 0 on, and their subscriber.
 
-    They begin with the accepted tokens in the dispatch, so that another entry
-    can fetch the complete answer from this buffer.
+    The tokens begin with the accepted ones in the dispatch, so that another
+    entry can fetch the complete answer from this buffer.
     """
 
     dispatch: Dispatch
@@ -65,8 +65,8 @@
     def acknowledge(self, offset: int, now_ms: float) -> None:
         """Record that the subscriber's caller has read up to `offset`."""
         self.heard_ms = now_ms
-        confirmed = min(offset, len(self.tokens))
-        self.acknowledged_tokens = max(self.acknowledged_tokens, confirmed)
+        acknowledged = min(offset, len(self.tokens))
+        self.acknowledged_tokens = max(self.acknowledged_tokens, acknowledged)
 
     def take_frame(self) -> Frame | None:
         """Return the output that was not yet sent, or None if there is none."""
--- a/bergamotthread/request/plain_call.py
+++ b/bergamotthread/request/plain_call.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class PlainCall:
-    """Sends a call to one agent after another until one answers.
+    """Sends a call to one agent after another until the service answers.
 
     If an agent certainly did not send the call, the retry is not charged to the
     retry budget, but it counts as an attempt.
@@ -49,8 +49,8 @@
         Raises
         ------
         RefusedError
-            If no agent answered within the attempts, the retry budget and the
-            deadline.
+            If there is no agent, or none returned the service's answer within
+            the attempts, the retry budget and the deadline.
         """
         if not self.request.agents:
             raise self._refuse(ReasonCode.NO_UPSTREAM, 'no agent', Ran.NOT_RUN)
