--- a/bergamotthread/request/generation.py
+++ b/bergamotthread/request/generation.py
@@ -2,8 +2,8 @@
 
 The output is extended only by frames of the current attempt, from the agent
 that runs it, that begin at or before the next offset; tokens before that offset
-are skipped. All other frames are counted and dropped, so
-that no token is missing or repeated and generations are never mixed.
+are skipped. All other frames are dropped, so that no token is missing or
+repeated and generations are never mixed.
 """
 
 from __future__ import annotations
@@ -104,7 +104,7 @@
 class AttemptPlace:
     """Location of the current attempt: agent and its process incarnation.
 
-    `incarnation` is zero until the agent has sent output.
+    `incarnation` is zero until a message about the attempt has arrived.
     """
 
     number: int
