--- a/bergamotthread/platform/runner_calls.py
+++ b/bergamotthread/platform/runner_calls.py
@@ -11,7 +11,7 @@
 from bergamotthread.connection.http.fetch import FetchRequest, fetch
 from bergamotthread.connection.http.upstream_pool import UpstreamPool
 from bergamotthread.platform.runner_rows import decode_report
-from bergamotthread.process.relay.liveness import PROBE_TIMEOUT_MS
+from bergamotthread.process.relay.liveness import UPSTREAM_PROBE_TIMEOUT_MS
 from bergamotthread.process.relay.upstreams import LoadReport, Upstream
 from bergamotthread.request.relay.engine_memory import EngineKvCache
 
@@ -43,7 +43,7 @@
                 self.pool,
                 upstream.address,
                 FetchRequest(b'GET', b'/api/report'),
-                PROBE_TIMEOUT_MS,
+                UPSTREAM_PROBE_TIMEOUT_MS,
             )
         except ConnectionError as error:
             logging.debug(
@@ -131,7 +131,7 @@
                 self.pool,
                 upstream.address,
                 FetchRequest(b'GET', b'/api/kv-list'),
-                PROBE_TIMEOUT_MS,
+                UPSTREAM_PROBE_TIMEOUT_MS,
             )
             cached = msgspec.json.decode(fetched.body, type=_Kept)
         except (ConnectionError, msgspec.MsgspecError) as error:
--- a/bergamotthread/process/agent_process.py
+++ b/bergamotthread/process/agent_process.py
@@ -26,7 +26,7 @@
 from bergamotthread.version.distribution import VersionHolder
 from bergamotthread.wire.messages import Envelope
 
-VERSION_CHECK_INTERVAL_MS = 100
+AGENT_VERSION_CHECK_INTERVAL_MS = 100
 MAX_RECENT_ENTRIES = 8
 
 
@@ -164,7 +164,7 @@
             if published is not None and published.version != applied_version:
                 applied_version = published.version
                 self.agent.apply_version(published)
-            await self._clock.sleep_ms(VERSION_CHECK_INTERVAL_MS)
+            await self._clock.sleep_ms(AGENT_VERSION_CHECK_INTERVAL_MS)
 
 
 def _order_inbox(
--- a/bergamotthread/process/entry_process.py
+++ b/bergamotthread/process/entry_process.py
@@ -58,7 +58,7 @@
 from bergamotthread.version.published import PublishedVersion
 from bergamotthread.wire.messages import DrainNotice, Envelope, Pin
 
-VERSION_CHECK_INTERVAL_MS = 20
+ENTRY_VERSION_CHECK_INTERVAL_MS = 20
 SUBSET_INTERVAL_MS = 1000
 _CURSOR_KEY_BYTES = 32
 
@@ -328,7 +328,7 @@
             if published is not None:
                 self.apply_version(published)
             self.completions.evict_released()
-            await self._clock.sleep_ms(VERSION_CHECK_INTERVAL_MS)
+            await self._clock.sleep_ms(ENTRY_VERSION_CHECK_INTERVAL_MS)
 
     async def _follow_membership(self) -> None:
         """Choose the subset of upstreams again when the live entries change."""
--- a/bergamotthread/process/explanations/explanation_routes.py
+++ b/bergamotthread/process/explanations/explanation_routes.py
@@ -27,7 +27,7 @@
 )
 from bergamotthread.version.published import PublishedVersion
 
-RETRY_AFTER_MS = 5000
+STORE_UNAVAILABLE_RETRY_AFTER_MS = 5000
 
 ReadVersion = Callable[[], PublishedVersion]
 
@@ -102,7 +102,7 @@
         detail=detail,
         step=Step.RECORD,
         ran=Ran.NOT_RUN,
-        retry_after_ms=RETRY_AFTER_MS,
+        retry_after_ms=STORE_UNAVAILABLE_RETRY_AFTER_MS,
     )
 
 
--- a/bergamotthread/process/generations/generation_guards.py
+++ b/bergamotthread/process/generations/generation_guards.py
@@ -36,7 +36,7 @@
 from bergamotthread.wire.messages import Quarantine
 
 DEATH_REPORT_WINDOW_MS = 1000
-SUSPICION_TIMEOUT_MS = 10_000
+AGENT_SUSPICION_TIMEOUT_MS = 10_000
 
 
 @dataclass(frozen=True)
@@ -180,7 +180,7 @@
 
         A silent agent need not be dead. Whether the upstream died is known
         when the agent sends a message again, or is assumed after
-        `SUSPICION_TIMEOUT_MS`.
+        `AGENT_SUSPICION_TIMEOUT_MS`.
         """
         now_ms = self._clock.now_ms()
         suspicion = self._suspicion_by_agent.setdefault(
@@ -207,9 +207,9 @@
     def expire_suspicions(self) -> None:
         """Count upstreams of agents suspected for too long as dead.
 
-        The limit is `SUSPICION_TIMEOUT_MS`.
+        The limit is `AGENT_SUSPICION_TIMEOUT_MS`.
         """
-        before_ms = self._clock.now_ms() - SUSPICION_TIMEOUT_MS
+        before_ms = self._clock.now_ms() - AGENT_SUSPICION_TIMEOUT_MS
         for agent, suspicion in tuple(self._suspicion_by_agent.items()):
             if suspicion.since_ms <= before_ms:
                 self._suspicion_by_agent.pop(agent)
--- a/bergamotthread/process/generations/quarantines.py
+++ b/bergamotthread/process/generations/quarantines.py
@@ -16,7 +16,7 @@
 from bergamotthread.process.store.platform import Table
 from bergamotthread.wire.messages import Envelope, Quarantine
 
-FLUSH_INTERVAL_MS = 1000
+QUARANTINE_FLUSH_INTERVAL_MS = 1000
 
 
 class Quarantines:
@@ -47,7 +47,7 @@
     async def run(self) -> None:
         """Synchronise with peers and the table until cancelled."""
         while True:
-            await self._clock.sleep_ms(FLUSH_INTERVAL_MS)
+            await self._clock.sleep_ms(QUARANTINE_FLUSH_INTERVAL_MS)
             if self.guard is not None:
                 self.publisher.flush(self.guard)
             with contextlib.suppress(StoreUnavailableError):
--- a/bergamotthread/process/membership/gossip_sender.py
+++ b/bergamotthread/process/membership/gossip_sender.py
@@ -20,9 +20,9 @@
     ProbeRequest,
 )
 
-BYTES_PER_S = 4096
-BURST_BYTES = 8192
-MESSAGE_BYTES = 100
+GOSSIP_BYTES_PER_S = 4096
+GOSSIP_BURST_BYTES = 8192
+GOSSIP_MESSAGE_BYTES = 100
 RECORDS_PER_MESSAGE = 16
 ROTATED_RECORDS = 2
 
@@ -60,7 +60,9 @@
         self._table = table
         self._config_version = config_version
         self._queue = GossipQueue()
-        self._budget = ByteBudget(BYTES_PER_S, BURST_BYTES, clock.now_ms())
+        self._budget = ByteBudget(
+            GOSSIP_BYTES_PER_S, GOSSIP_BURST_BYTES, clock.now_ms()
+        )
         self._rotation: list[str] = []
 
     def push(self, member: Member) -> None:
@@ -83,7 +85,7 @@
 
     def send_request(self, peer: str, sequence: int, target: str) -> None:
         """Ask `peer` to probe `target`, unless the budget is spent."""
-        if self._budget.try_spend(MESSAGE_BYTES, self._clock.now_ms()):
+        if self._budget.try_spend(GOSSIP_MESSAGE_BYTES, self._clock.now_ms()):
             self._transport.send(peer, ProbeRequest(sequence, target))
         else:
             self.unsent += 1
@@ -92,7 +94,7 @@
         """Return the records of one message, empty if it may not be sent."""
         now_ms = self._clock.now_ms()
         required = self._required_records(peer)
-        byte_count = MESSAGE_BYTES + sum(map(record_bytes, required))
+        byte_count = GOSSIP_MESSAGE_BYTES + sum(map(record_bytes, required))
         if not self._budget.try_spend(byte_count, now_ms):
             self.unsent += 1
             return ()
--- a/bergamotthread/process/membership/member_table.py
+++ b/bergamotthread/process/membership/member_table.py
@@ -6,7 +6,7 @@
 
 from bergamotthread.wire.messages import Member, MemberState
 
-SUSPICION_TIMEOUT_MS = 40_000
+MEMBER_SUSPICION_TIMEOUT_MS = 40_000
 TOMBSTONE_RETENTION_MS = 600_000
 REFUTATION_BITS = 16
 
@@ -60,7 +60,9 @@
     """
 
     def __init__(
-        self, own: Member, suspicion_timeout_ms: float = SUSPICION_TIMEOUT_MS
+        self,
+        own: Member,
+        suspicion_timeout_ms: float = MEMBER_SUSPICION_TIMEOUT_MS,
     ) -> None:
         self.own = own
         self._suspicion_timeout_ms = suspicion_timeout_ms
--- a/bergamotthread/process/membership/membership.py
+++ b/bergamotthread/process/membership/membership.py
@@ -36,7 +36,7 @@
 )
 
 ENTRY_ROLE = 'entry'
-TICK_MS = 250
+MEMBERSHIP_TICK_MS = 250
 PROBE_INTERVAL_MS = 1000
 SEED_INTERVAL_MS = 5000
 JOIN_INTERVAL_MS = 250
@@ -243,7 +243,7 @@
         self._due.ticked_ms = self._clock.now_ms()
         while True:
             self.tick()
-            await self._clock.sleep_ms(TICK_MS)
+            await self._clock.sleep_ms(MEMBERSHIP_TICK_MS)
 
     def _is_current(self, envelope: Envelope) -> bool:
         if envelope.sender == self.table.own.address:
--- a/bergamotthread/process/membership/prober.py
+++ b/bergamotthread/process/membership/prober.py
@@ -8,7 +8,7 @@
 
 INDIRECT_PROBE_AFTER_MS = 500
 INDIRECT_INTERVAL_MS = 1000
-PROBE_TIMEOUT_MS = 2500
+MEMBER_PROBE_TIMEOUT_MS = 2500
 RELAY_TIMEOUT_MS = 1000
 
 
@@ -114,7 +114,7 @@
         """Return the targets of probes that timed out."""
         failed = []
         for sequence, pending in tuple(self._pending_by_sequence.items()):
-            if now_ms - pending.sent_ms >= PROBE_TIMEOUT_MS:
+            if now_ms - pending.sent_ms >= MEMBER_PROBE_TIMEOUT_MS:
                 self._pending_by_sequence.pop(sequence)
                 failed.append(pending.target)
         for relay_sequence, relayed in tuple(self._relayed_by_sequence.items()):
--- a/bergamotthread/process/orders/orders.py
+++ b/bergamotthread/process/orders/orders.py
@@ -14,7 +14,7 @@
 from bergamotthread.version.published import PublishedVersion
 from bergamotthread.wire.messages import Envelope, Order, OrderReply, Pin
 
-TICK_MS = 2000
+ORDERS_TICK_MS = 2000
 REPLY_TIMEOUT_MS = 120_000
 ORDERS_PER_TICK = 20
 
@@ -188,7 +188,7 @@
         """Send orders that are due until cancelled."""
         while True:
             self.tick()
-            await self._clock.sleep_ms(TICK_MS)
+            await self._clock.sleep_ms(ORDERS_TICK_MS)
 
     def tick(self) -> None:
         """Send the orders that are due, if the lease is held.
--- a/bergamotthread/process/orders/region_lease.py
+++ b/bergamotthread/process/orders/region_lease.py
@@ -12,7 +12,7 @@
 from bergamotthread.process.store.platform import Row, Table
 
 KEY_PREFIX = 'lease/orders/'
-LEASE_MS = 15_000
+REGION_LEASE_MS = 15_000
 TAKE_OVER_MARGIN_MS = 5000
 RENEW_INTERVAL_MS = 5000
 
@@ -48,9 +48,9 @@
 
     The holder measures the lease from before the write that renewed it. Other
     processes measure from when they first saw the current revision of the row.
-    If it doesn't change for `LEASE_MS` and a margin of `TAKE_OVER_MARGIN_MS`,
-    they take over with the next fence. All use their own monotonic clocks, so
-    calendar clocks need not agree.
+    If it doesn't change for `REGION_LEASE_MS` and a margin of
+    `TAKE_OVER_MARGIN_MS`, they take over with the next fence. All use their own
+    monotonic clocks, so calendar clocks need not agree.
 
     Parameters
     ----------
@@ -144,7 +144,7 @@
         if seen is None or seen.revision != row.revision:
             return False
         unchanged_ms = self._clock.now_ms() - seen.since_ms
-        return unchanged_ms >= LEASE_MS + TAKE_OVER_MARGIN_MS
+        return unchanged_ms >= REGION_LEASE_MS + TAKE_OVER_MARGIN_MS
 
     async def _write(self, *, expected: int, fence: int) -> None:
         self._attempts += 1
@@ -158,4 +158,6 @@
 
     def _set_held(self, fence: int, sent_ms: float) -> None:
         self.fence = fence
-        self._valid_until_ms = max(self._valid_until_ms, sent_ms + LEASE_MS)
+        self._valid_until_ms = max(
+            self._valid_until_ms, sent_ms + REGION_LEASE_MS
+        )
--- a/bergamotthread/process/overload/admission.py
+++ b/bergamotthread/process/overload/admission.py
@@ -29,8 +29,8 @@
 # benchmarks.routing (scattered loss) compares 1, 2 and 3.
 RESUMED_PREFILL_FACTOR = 2
 ACTIVE_TEAM_MS = 60_000
-RETRY_AFTER_MIN_MS = 50
-RETRY_AFTER_MAX_MS = 30_000
+DECLINE_RETRY_AFTER_MIN_MS = 50
+DECLINE_RETRY_AFTER_MAX_MS = 30_000
 _MS_PER_S = 1000
 
 
@@ -429,8 +429,8 @@
         """Return when new work may be queued again, as a bounded estimate."""
         wait_ms = self._expected_wait_ms(self._prepare(dispatch))
         excess_ms = wait_ms - self.limits.queue_wait_ms
-        bounded_ms = min(RETRY_AFTER_MAX_MS, excess_ms)
-        return int(max(RETRY_AFTER_MIN_MS, bounded_ms))
+        bounded_ms = min(DECLINE_RETRY_AFTER_MAX_MS, excess_ms)
+        return int(max(DECLINE_RETRY_AFTER_MIN_MS, bounded_ms))
 
     def _record_team(self, team: str) -> None:
         now_ms = self.clock.now_ms()
--- a/bergamotthread/process/overload/overload.py
+++ b/bergamotthread/process/overload/overload.py
@@ -11,8 +11,8 @@
 from bergamotthread.process.shares.team_usage import TeamShare, TeamUsage, Usage
 from bergamotthread.request.refusal import Ran, ReasonCode, Refusal
 
-RETRY_AFTER_MIN_MS = 100
-RETRY_AFTER_MAX_MS = 60_000
+OVERLOAD_RETRY_AFTER_MIN_MS = 100
+OVERLOAD_RETRY_AFTER_MAX_MS = 60_000
 DEFAULT_RUN_MS = 10_000
 OTHERS_OFFERED_MIN = 0.01
 _RUN_SMOOTHING = 0.05
@@ -175,7 +175,10 @@
         run time as time constant.
         """
         wait_ms = self.run_ms * math.log(max(measured / limit, 1))
-        bounded_ms = min(RETRY_AFTER_MAX_MS, max(RETRY_AFTER_MIN_MS, wait_ms))
+        bounded_ms = min(
+            OVERLOAD_RETRY_AFTER_MAX_MS,
+            max(OVERLOAD_RETRY_AFTER_MIN_MS, wait_ms),
+        )
         figures = {'measured': measured, 'limit': limit}
         return Overloaded(decided_by, int(bounded_ms), figures)
 
--- a/bergamotthread/process/relay/decision_log.py
+++ b/bergamotthread/process/relay/decision_log.py
@@ -19,7 +19,7 @@
 BUFFERED_LINES_MAX = 2000
 # Lines that a process may log in one second; further ones are dropped.
 LINES_PER_S_MAX = 300
-FLUSH_INTERVAL_MS = 50
+LOG_FLUSH_INTERVAL_MS = 50
 _MS_PER_S = 1000
 _STDOUT = 1
 
@@ -109,6 +109,6 @@
             # Without a running loop, lines wait for the first write in one.
             return
         self._flush = loop.call_later(
-            FLUSH_INTERVAL_MS / _MS_PER_S,
+            LOG_FLUSH_INTERVAL_MS / _MS_PER_S,
             self.flush,
         )
--- a/bergamotthread/process/relay/liveness.py
+++ b/bergamotthread/process/relay/liveness.py
@@ -25,7 +25,7 @@
 # than the allowed pause.
 PREFILL_SILENCE_MS = 200
 # Opening a connection and one round trip between regions take 120 ms.
-PROBE_TIMEOUT_MS = 190
+UPSTREAM_PROBE_TIMEOUT_MS = 190
 
 # Age up to which a load report is reused without a new probe.
 REPORT_AGE_MAX_MS = 150
@@ -109,7 +109,7 @@
         started_ms = self.clock.now_ms()
         report = None
         try:
-            async with self.clock.timeout_ms(PROBE_TIMEOUT_MS):
+            async with self.clock.timeout_ms(UPSTREAM_PROBE_TIMEOUT_MS):
                 report = await self.probe(upstream)
         except TimeoutError:
             report = None
--- a/bergamotthread/process/shares/share_home.py
+++ b/bergamotthread/process/shares/share_home.py
@@ -8,10 +8,10 @@
 from bergamotthread.process.routing.subset import top_nodes
 from bergamotthread.wire.messages import TeamDemand, TeamShare
 
-LEASE_MS = 10_000
+SHARE_LEASE_MS = 10_000
 # Views of the membership may differ between entries for this long.
 VIEW_LAG_MS = 10_000
-LEASE_HOLD_MS = LEASE_MS + VIEW_LAG_MS
+LEASE_HOLD_MS = SHARE_LEASE_MS + VIEW_LAG_MS
 # Leases are granted for this multiple of the demand.
 DEMAND_HEADROOM = 1.25
 
--- a/bergamotthread/process/shares/shares.py
+++ b/bergamotthread/process/shares/shares.py
@@ -12,7 +12,7 @@
 from bergamotthread.process.overload.byte_budget import ByteBudget
 from bergamotthread.process.shares.share_home import (
     DEMAND_HEADROOM,
-    LEASE_MS,
+    SHARE_LEASE_MS,
     ShareHome,
 )
 from bergamotthread.process.shares.share_usage import (
@@ -31,18 +31,18 @@
     TeamShare,
 )
 
-TICK_MS = 1000
+SHARE_TICK_MS = 1000
 RENEW_INTERVAL_MS = 5000
 RENEW_URGENT_INTERVAL_MS = 2000
 # Ticks that are this far apart mean that the process was paused.
 PAUSE_DETECTION_MS = 2000
 CLEANUP_INTERVAL_MS = 10_000
-BYTES_PER_S = 6144
-BURST_BYTES = 12_288
+SHARE_BYTES_PER_S = 6144
+SHARE_BURST_BYTES = 12_288
 # Part of the burst that is kept for answers to the requests of other entries.
 ANSWER_RESERVE_BYTES = 4096
 # Estimated size of a message, and of each team in it.
-MESSAGE_BYTES = 90
+SHARE_MESSAGE_BYTES = 90
 TEAM_BYTES = 28
 # No lease is requested for demand up to this fraction of the floor.
 FLOOR_DEMAND_FRACTION = 0.5
@@ -106,7 +106,7 @@
         self._active: set[str] = set()
         self._requested_ms_by_team: dict[str, float] = {}
         self._last_request_by_entry: dict[str, tuple[int, int]] = {}
-        self._budget = ByteBudget(BYTES_PER_S, BURST_BYTES, now_ms)
+        self._budget = ByteBudget(SHARE_BYTES_PER_S, SHARE_BURST_BYTES, now_ms)
         self._ticked_ms = now_ms
 
     def apply_version(self, version: PublishedVersion) -> None:
@@ -172,7 +172,7 @@
         """Renew leases until cancelled."""
         while True:
             self.tick()
-            await self._clock.sleep_ms(TICK_MS)
+            await self._clock.sleep_ms(SHARE_TICK_MS)
 
     def tick(self) -> None:
         """Request the leases that are due.
@@ -246,7 +246,9 @@
     ) -> None:
         if home == self._transport.address:
             for demand in demands:
-                self._apply_share(self._grant(home, demand), LEASE_MS, now_ms)
+                self._apply_share(
+                    self._grant(home, demand), SHARE_LEASE_MS, now_ms
+                )
                 self._requested_ms_by_team[demand.team] = now_ms
             return
         if not self._may_request(len(demands), now_ms):
@@ -268,7 +270,7 @@
         shares = tuple(
             self._grant(envelope.sender, demand) for demand in requests.demands
         )
-        grants = ShareGrants(requests.sequence, LEASE_MS, shares)
+        grants = ShareGrants(requests.sequence, SHARE_LEASE_MS, shares)
         self._transport.send(envelope.sender, grants)
 
     def _grant(self, entry: str, demand: TeamDemand) -> TeamShare:
@@ -341,7 +343,7 @@
 
 
 def _byte_count(team_count: int) -> int:
-    return MESSAGE_BYTES + TEAM_BYTES * team_count
+    return SHARE_MESSAGE_BYTES + TEAM_BYTES * team_count
 
 
 def _wants_lease(usage: ShareUsage, now_ms: float) -> bool:
--- a/bergamotthread/request/call_refusals.py
+++ b/bergamotthread/request/call_refusals.py
@@ -13,7 +13,7 @@
     RefusedError,
 )
 
-RETRY_AFTER_MS = 1000
+CALL_RETRY_AFTER_MS = 1000
 
 
 def refuse_call(
@@ -24,7 +24,7 @@
     step: Step,
     ran: Ran,
     peer: str = '',
-    retry_after_ms: int = RETRY_AFTER_MS,
+    retry_after_ms: int = CALL_RETRY_AFTER_MS,
 ) -> RefusedError:
     """Return the error that refuses `request`."""
     return RefusedError(
--- a/bergamotthread/request/plain_call.py
+++ b/bergamotthread/request/plain_call.py
@@ -23,7 +23,7 @@
 )
 
 MAX_ATTEMPTS = 4
-INITIAL_BACKOFF_MS = 25
+CALL_INITIAL_BACKOFF_MS = 25
 _MS_PER_S = 1000
 
 
@@ -114,7 +114,7 @@
         )
 
     async def _back_off(self, attempt: int) -> None:
-        max_pause_ms = INITIAL_BACKOFF_MS * 2**attempt
+        max_pause_ms = CALL_INITIAL_BACKOFF_MS * 2**attempt
         await self.clock.sleep_ms(self.rng.random() * max_pause_ms)
 
     def _refuse(
--- a/bergamotthread/version/distribution.py
+++ b/bergamotthread/version/distribution.py
@@ -56,7 +56,7 @@
 READ_BACKOFF_MS = 1000
 REGISTER_INTERVAL_MS = 1000
 REPORTED_VERSION_REQUEST_INTERVAL_MS = 50
-RETRY_AFTER_MS = 1000
+NO_VERSION_RETRY_AFTER_MS = 1000
 INITIAL_FANOUT = 2
 LOG_INTERVAL_S = 60
 
@@ -219,7 +219,7 @@
             step=Step.ADMIT,
             ran=Ran.NOT_RUN,
             config_version=self.version,
-            retry_after_ms=RETRY_AFTER_MS,
+            retry_after_ms=NO_VERSION_RETRY_AFTER_MS,
             figures=figures,
         )
 
--- a/bergamotthread/version/publication.py
+++ b/bergamotthread/version/publication.py
@@ -39,7 +39,7 @@
 )
 
 PUBLICATION_ID_BYTES = 12
-INITIAL_BACKOFF_MS = 100
+PUBLICATION_INITIAL_BACKOFF_MS = 100
 MAX_BACKOFF_MS = 2000
 MAX_SHOWN_OBJECTS = 4
 MAX_SHOWN_PUBLICATIONS = 5
@@ -188,7 +188,9 @@
 
     async def _back_off(self, attempt: int) -> None:
         """Wait a random time, so that concurrent publishers rarely collide."""
-        max_pause_ms = min(INITIAL_BACKOFF_MS * 2**attempt, MAX_BACKOFF_MS)
+        max_pause_ms = min(
+            PUBLICATION_INITIAL_BACKOFF_MS * 2**attempt, MAX_BACKOFF_MS
+        )
         await self.clock.sleep_ms(self.rng.random() * max_pause_ms)
 
     async def _read_newest(self, start_state: VersionState) -> NewestVersion:
--- a/soak/answer_checks.py
+++ b/soak/answer_checks.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Iterable
 
-from bergamotthread.process.relay.decision_log import FLUSH_INTERVAL_MS
+from bergamotthread.process.relay.decision_log import LOG_FLUSH_INTERVAL_MS
 from soak.findings import BUSY_MS, SETTLE_MS, Finding
 from soak.records import Call, Ending, Records, Run
 from standins.platform_runner import STREAM_EVENTS, event_of
@@ -19,7 +19,7 @@
 UNCANCELLED_ALLOWED_MIN = 2
 # The decision log never blocks, so lines that a process has not yet written
 # when it is killed are lost.
-LOG_LOSS_WINDOW_MS = 2 * FLUSH_INTERVAL_MS
+LOG_LOSS_WINDOW_MS = 2 * LOG_FLUSH_INTERVAL_MS
 _OK = 200
 _NOT_RUN = frozenset((408, 421, 429, 503))
 _EVENT = re.compile(rb'id: (\d+)\ndata: t\d+ (\S+)\n\n')
